--- a/bench/src/standin_hosts.ts
+++ b/bench/src/standin_hosts.ts
@@ -14,7 +14,7 @@
   decodePeerDatagram,
   encodePeerDatagram,
   PeerFrame,
-  type PeerPlace,
+  type PeerLocation,
 } from '@irisdock/gateway';
 import {splitPlace} from '@irisdock/kernel';
 import {DEPLOYMENT} from './deployed_host.js';
@@ -27,7 +27,7 @@
 interface StandinHost {
   readonly socket: Socket;
   readonly record: HostRecord;
-  readonly place: PeerPlace;
+  readonly place: PeerLocation;
 }
 
 /** What went between the real host and the others. */
@@ -121,7 +121,7 @@
     asker: string | undefined,
   ): void {
     const ownHash = this.own === undefined ? 0 : hashRecord(this.own);
-    const watch: WatchMessage<PeerPlace> = {
+    const watch: WatchMessage<PeerLocation> = {
       kind,
       sender: record,
       place: kind === 'probe' ? place : undefined,
--- a/packages/gateway/src/channels/datagram_socket.ts
+++ b/packages/gateway/src/channels/datagram_socket.ts
@@ -12,16 +12,16 @@
 }
 
 /** Takes a datagram and its sender's address, as `ip:port`. */
-export type HandleDatagram = (bytes: Uint8Array, sender: string) => void;
+export type DatagramHandler = (bytes: Uint8Array, sender: string) => void;
 
 /** Opens a port whose datagrams go to `handle`. */
-export type OpenDatagramPort = (handle: HandleDatagram) => DatagramPort;
+export type DatagramPortFactory = (handle: DatagramHandler) => DatagramPort;
 
 /** A UDP socket as a port for datagrams. */
 export class DatagramSocket implements DatagramPort {
   private readonly socket: Socket = createSocket('udp4');
 
-  constructor(private readonly handle: HandleDatagram) {
+  constructor(private readonly handle: DatagramHandler) {
     this.socket.on('message', (bytes, {address, port}) => {
       this.handle(bytes, `${address}:${port}`);
     });
--- a/packages/gateway/src/channels/endpoint_client.ts
+++ b/packages/gateway/src/channels/endpoint_client.ts
@@ -12,27 +12,27 @@
   type Clock,
 } from '@irisdock/kernel';
 import type {
-  AnswerTerms,
+  ResponseMetadata,
   HeaderCodec,
   HeaderLines,
-} from '../model/request_terms.js';
+} from '../model/request_metadata.js';
 import type {
   SendAdmission,
   SendGate,
   SendPermit,
   SendTarget,
 } from '../serving/send_gate.js';
-import {FAILED_STATUS} from './answer_check.js';
+import {MIN_SERVER_ERROR_STATUS} from './response_check.js';
 import {EndpointAgent} from './endpoint_agent.js';
 import {
-  dropConnectionLines,
+  dropHopByHopHeaders,
   findHeader,
   formatRawHeaders,
   readHeaderLines,
 } from './header_lines.js';
 
 /** A request on its way to an endpoint. */
-export interface EndpointSend {
+export interface EndpointRequest {
   /** Given by the gate for this send alone. */
   readonly permit: SendPermit;
   /** The caller's request that is sent; undefined for calls of our own. */
@@ -47,10 +47,10 @@
 }
 
 /** The head of an answer; its body is still to be read. */
-export interface EndpointAnswer {
+export interface EndpointResponse {
   readonly kind: 'answer';
   readonly status: number;
-  readonly terms: AnswerTerms;
+  readonly metadata: ResponseMetadata;
   /** Lines for the caller. */
   readonly lines: HeaderLines;
   readonly isEventStream: boolean;
@@ -61,13 +61,13 @@
    * Tells, once the body has ended, whether it is whole. A body without a
    * length ends with its connection; one whose connection failed is cut.
    */
-  isWhole(): boolean;
+  isComplete(): boolean;
   /** Closes the connection. */
   close(): void;
 }
 
 /** A send without an answer that can be used. */
-export interface EndpointLoss {
+export interface EndpointFailure {
   readonly kind: 'lost';
   /** Whether the endpoint may have got the request. */
   readonly mayHaveRun: boolean;
@@ -102,7 +102,9 @@
   }
 
   /** Sends a request; resolves at the head of its answer. */
-  async send(send: EndpointSend): Promise<EndpointAnswer | EndpointLoss> {
+  async send(
+    send: EndpointRequest,
+  ): Promise<EndpointResponse | EndpointFailure> {
     return new Promise((resolve) => {
       let mayHaveRun = false;
       let endReason: string | undefined;
@@ -155,8 +157,8 @@
     this.agent.destroy();
   }
 
-  private createRequest(send: EndpointSend): ClientRequest {
-    const lines = addFraming(dropConnectionLines(send.lines), send);
+  private createRequest(send: EndpointRequest): ClientRequest {
+    const lines = addFraming(dropHopByHopHeaders(send.lines), send);
     return request({
       ...splitPlace(send.permit.target.address),
       method: send.method,
@@ -172,8 +174,8 @@
    * has said it, whether or not a caller is still there.
    */
   private recordAnswer(
-    {permit: {target}, requestId}: EndpointSend,
-    {terms, status}: EndpointAnswer,
+    {permit: {target}, requestId}: EndpointRequest,
+    {metadata: terms, status}: EndpointResponse,
     sentAt: number,
   ): void {
     const {endpointId = target.endpointId, limit, isLeaving} = terms;
@@ -181,7 +183,7 @@
     if (endpointId !== target.endpointId) return;
     if (status === MISDIRECTED_STATUS) return;
     const isOurs = requestId !== undefined && terms.requestId === requestId;
-    const isWell = terms.isSigned && status < FAILED_STATUS;
+    const isWell = terms.isSigned && status < MIN_SERVER_ERROR_STATUS;
     const isTelling = isOurs && (isWell || terms.isNotRun);
     const pause = PAUSE_STATUSES.has(status) ? terms.pause : undefined;
     this.gate.recordAnswer({
@@ -197,7 +199,7 @@
   private createAnswer(
     message: ClientRequest,
     answer: IncomingMessage,
-  ): EndpointAnswer {
+  ): EndpointResponse {
     const allLines = readHeaderLines(answer);
     const type = findHeader(allLines, 'content-type') ?? '';
     const isFramed = hasFraming(answer);
@@ -216,12 +218,12 @@
     return {
       kind: 'answer',
       status: answer.statusCode ?? 0,
-      terms: this.codec.decodeAnswer(allLines),
-      lines: dropConnectionLines(this.codec.encodeAnswer(allLines)),
+      metadata: this.codec.decodeResponse(allLines),
+      lines: dropHopByHopHeaders(this.codec.encodeResponse(allLines)),
       isEventStream: type.startsWith('text/event-stream'),
       message: answer,
       isFramed,
-      isWhole: () => answer.complete && (isFramed || !hasFailed),
+      isComplete: () => answer.complete && (isFramed || !hasFailed),
       close: () => {
         message.destroy();
       },
@@ -238,7 +240,7 @@
 }
 
 /** Adds the length of the body and asks to keep the connection. */
-function addFraming(lines: HeaderLines, send: EndpointSend): HeaderLines {
+function addFraming(lines: HeaderLines, send: EndpointRequest): HeaderLines {
   const framed = [...lines, ['Connection', 'keep-alive'] as const];
   const isBodiless = send.method === 'GET' || send.method === 'HEAD';
   if (isBodiless && send.body.length === 0) return framed;
--- a/packages/gateway/src/channels/framed_port.ts
+++ b/packages/gateway/src/channels/framed_port.ts
@@ -5,7 +5,7 @@
  */
 import type {Clock, Logger} from '@irisdock/kernel';
 import {PeerFrame, type DropReason} from '../model/peer_frame.js';
-import type {DatagramPort, OpenDatagramPort} from './datagram_socket.js';
+import type {DatagramPort, DatagramPortFactory} from './datagram_socket.js';
 
 /** The least time between two log lines of drops, in ms. */
 const LOG_EVERY_MS = 30_000;
@@ -13,7 +13,7 @@
 /** What the port works with. */
 export interface FramedPortParts {
   readonly deployment: string;
-  readonly openDatagrams: OpenDatagramPort;
+  readonly openDatagrams: DatagramPortFactory;
   /** Counts a datagram that was dropped. */
   readonly recordDrop: (reason: DropReason) => void;
   readonly clock: Clock;
--- a/packages/gateway/src/channels/header_lines.ts
+++ b/packages/gateway/src/channels/header_lines.ts
@@ -1,6 +1,6 @@
 /** Header lines as they stand on the wire. */
 import type {IncomingMessage} from 'node:http';
-import type {HeaderLines} from '../model/request_terms.js';
+import type {HeaderLines} from '../model/request_metadata.js';
 
 /** Headers that concern one connection only and are never passed on. */
 const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
@@ -30,7 +30,7 @@
  * Drops what concerns one connection, and the length, as bodies are framed
  * anew on each connection.
  */
-export function dropConnectionLines(lines: HeaderLines): HeaderLines {
+export function dropHopByHopHeaders(lines: HeaderLines): HeaderLines {
   const named = listNamedByConnection(lines);
   const kept: (readonly [string, string])[] = [];
   for (const line of lines) {
--- a/packages/gateway/src/channels/json_caller.ts
+++ b/packages/gateway/src/channels/json_client.ts
@@ -7,7 +7,7 @@
 import {err, ok, type Result} from 'neverthrow';
 
 /** A call. */
-export interface JsonCall {
+export interface JsonRequest {
   readonly method: 'DELETE' | 'GET' | 'POST' | 'PUT';
   readonly path: string;
   readonly body?: unknown;
@@ -15,21 +15,21 @@
 }
 
 /** An answer; `body` is empty when it is not JSON. */
-export interface JsonAnswer {
+export interface JsonResponse {
   readonly status: number;
   readonly body: unknown;
   readonly headers: IncomingHttpHeaders;
 }
 
 /** Makes calls to any address. */
-export class JsonCaller {
+export class JsonClient {
   private readonly agent = new Agent({keepAlive: true, noDelay: true});
 
   /** Makes a call; an error says why there is no answer. */
   async send(
     address: string,
-    call: JsonCall,
-  ): Promise<Result<JsonAnswer, string>> {
+    call: JsonRequest,
+  ): Promise<Result<JsonResponse, string>> {
     const body = call.body === undefined ? '' : JSON.stringify(call.body);
     return new Promise((resolve) => {
       const message = request({
@@ -45,7 +45,7 @@
       const timer = setTimeout(() => {
         message.destroy(new Error(`no answer in ${call.timeoutMs} ms`));
       }, call.timeoutMs);
-      const finish = (result: Result<JsonAnswer, string>): void => {
+      const finish = (result: Result<JsonResponse, string>): void => {
         clearTimeout(timer);
         resolve(result);
       };
--- a/packages/gateway/src/channels/answer_check.ts
+++ b/packages/gateway/src/channels/response_check.ts
@@ -1,16 +1,16 @@
 /** Whether an endpoint's answer is one to the request that was sent. */
-import type {EndpointAnswer} from './endpoint_client.js';
+import type {EndpointResponse} from './endpoint_client.js';
 import {findHeader} from './header_lines.js';
 
 /** From this status on an answer is a failure of the endpoint. */
-export const FAILED_STATUS = 500;
+export const MIN_SERVER_ERROR_STATUS = 500;
 
 /** Names what is wrong with an answer; undefined when it can be used. */
-export function findAnswerFault(
-  answer: EndpointAnswer,
+export function findResponseFault(
+  answer: EndpointResponse,
   requestId: string,
 ): string | undefined {
-  const {terms, status, lines} = answer;
+  const {metadata: terms, status, lines} = answer;
   if (terms.requestId !== undefined && terms.requestId !== requestId) {
     return 'it answers another request';
   }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -39,7 +39,7 @@
 import {ROLLOUTS_SERVICE} from './services/rollouts.js';
 import {RUN_LEASES_SERVICE} from './services/run_leases.js';
 import {TABLES_SERVICE} from './tables/tables.js';
-import {SettingsWatch} from './settings_watch.js';
+import {SettingsFileWatcher} from './settings_file_watcher.js';
 
 /** The services of the gateway, without those that an adapter adds. */
 export const GATEWAY_SERVICES: readonly AnyServiceDefinition[] = [
@@ -82,16 +82,16 @@
 const STDOUT = 1;
 
 /** How a program is called. */
-export interface ProgramCall {
+export interface ProgramInvocation {
   readonly args: readonly string[];
   readonly env: Readonly<Record<string, string | undefined>>;
   /** The variable that names the settings file. */
-  readonly fileVariable: string;
+  readonly settingsFileVariable: string;
 }
 
 /** Runs the gateway until a signal ends it. */
 export async function runGateway(
-  call: ProgramCall,
+  call: ProgramInvocation,
   adapterServices: readonly AnyServiceDefinition[],
 ): Promise<void> {
   const services = [...adapterServices, ...GATEWAY_SERVICES];
@@ -127,8 +127,11 @@
     metrics: new Registry(),
   });
   handleStopSignals(kernel, log, writer);
-  const watch = new SettingsWatch(call.env[call.fileVariable], clock, log, () =>
-    readSettings(call, groups).map((next) => kernel.applySettings(next)),
+  const watch = new SettingsFileWatcher(
+    call.env[call.settingsFileVariable],
+    clock,
+    log,
+    () => readSettings(call, groups).map((next) => kernel.applySettings(next)),
   );
   // Before anything is waited for: an unhandled SIGHUP would end the process.
   watch.start();
@@ -155,10 +158,10 @@
 
 /** Reads and checks the settings; gives all faults as sentences. */
 function readSettings(
-  call: ProgramCall,
+  call: ProgramInvocation,
   groups: readonly SettingsGroup[],
 ): Result<SettingsValues, string[]> {
-  const path = call.env[call.fileVariable];
+  const path = call.env[call.settingsFileVariable];
   if (path === undefined) return parseSettings(groups, call.args, call.env);
   const file = readSettingsFile(path);
   if (file.isErr()) return err([file.error]);
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,5 +1,5 @@
 /** Routes requests and resumable event streams to endpoints. */
-export * from './channels/json_caller.js';
+export * from './channels/json_client.js';
 export * from './channels/header_lines.js';
 export * from './errors.js';
 export * from './gateway.js';
@@ -7,11 +7,11 @@
 export * from './model/peer_codec.js';
 export * from './model/peer_frame.js';
 export * from './model/peer_message.js';
-export * from './model/request_terms.js';
+export * from './model/request_metadata.js';
 export * from './model/rollout_order.js';
 export * from './model/serving_configuration.js';
-export * from './model/table_news.js';
-export * from './model/watched_table.js';
+export * from './model/table_update.js';
+export * from './model/table_store.js';
 export {CRASHES} from './services/crashes.js';
 export {GATEWAY_CONFIGURATION} from './services/configuration.js';
 export {GATEWAY_ENDPOINTS} from './services/endpoints.js';
--- a/packages/gateway/src/model/crash_row.ts
+++ b/packages/gateway/src/model/crash_row.ts
@@ -8,7 +8,7 @@
 import {CONTENT_PATTERN} from '../serving/request_content.js';
 
 /** What a row tells beside its crash. */
-export interface CrashNote {
+export interface CrashRowValue {
   /** The host that saw it. */
   readonly host: string;
   /** When, in ms since 1970 by the clock of that host. */
@@ -40,12 +40,12 @@
 }
 
 /** Writes what a row tells. */
-export function formatCrashNote(note: CrashNote): string {
+export function formatCrashValue(note: CrashRowValue): string {
   return JSON.stringify(note);
 }
 
 /** Reads what a row tells; undefined when it is not readable. */
-export function parseCrashNote(value: string): CrashNote | undefined {
+export function parseCrashValue(value: string): CrashRowValue | undefined {
   try {
     return NOTE.safeParse(JSON.parse(value)).data;
   } catch {
--- a/packages/gateway/src/model/limit_datagram.ts
+++ b/packages/gateway/src/model/limit_datagram.ts
@@ -4,10 +4,10 @@
  * told as ages, as the clocks of hosts differ.
  */
 import type {SendCounts} from '@irisdock/decisions';
-import {TupleFault, type TupleReader} from './tuple_reader.js';
+import {TupleError, type TupleReader} from './tuple_reader.js';
 
 /** What a host believes of an endpoint's limit. */
-export interface ToldLimit {
+export interface ReportedLimit {
   readonly instanceId: string;
   /** Requests a second from all hosts together; undefined without a limit. */
   readonly perSecond: number | undefined;
@@ -19,11 +19,11 @@
 export interface LimitsDatagram {
   readonly kind: 'limits';
   readonly name: string;
-  readonly limits: readonly ToldLimit[];
+  readonly limits: readonly ReportedLimit[];
 }
 
 /** Asks for permits for sends that wait. */
-export interface PermitAskDatagram {
+export interface PermitRequestDatagram {
   readonly kind: 'permit-ask';
   readonly name: string;
   readonly incarnation: number;
@@ -32,11 +32,11 @@
   readonly wanted: SendCounts;
   /** Callers that were told to come back since the question before. */
   readonly refused: number;
-  readonly limit: ToldLimit;
+  readonly limit: ReportedLimit;
 }
 
 /** Gives permits. */
-export interface PermitAnswerDatagram {
+export interface PermitResponseDatagram {
   readonly kind: 'permit-answer';
   readonly number: number;
   /** Whether the asked host hands out permits for the endpoint. */
@@ -48,28 +48,28 @@
   readonly pauseMs: number;
   /** Until the last caller is back that was told to come back, in ms. */
   readonly lastReturnMs: number;
-  readonly limit: ToldLimit;
+  readonly limit: ReportedLimit;
 }
 
 /** Reads limits, without their kind. */
 export function readLimits(fields: TupleReader): LimitsDatagram {
   return {
     kind: 'limits',
-    name: fields.readText(),
+    name: fields.readString(),
     limits: fields.readList(readLimit),
   };
 }
 
 /** Gives the tuple of limits, without their kind. */
-export function listLimits({name, limits}: LimitsDatagram): unknown[] {
+export function encodeLimits({name, limits}: LimitsDatagram): unknown[] {
   return [name, limits.map(listLimit)];
 }
 
 /** Reads a question, without its kind. */
-export function readPermitAsk(fields: TupleReader): PermitAskDatagram {
+export function readPermitRequest(fields: TupleReader): PermitRequestDatagram {
   return {
     kind: 'permit-ask',
-    name: fields.readText(),
+    name: fields.readString(),
     incarnation: fields.readNumber(),
     number: fields.readNumber(),
     wanted: fields.readTuple(readCounts),
@@ -79,18 +79,20 @@
 }
 
 /** Gives the tuple of a question, without its kind. */
-export function listPermitAsk(ask: PermitAskDatagram): unknown[] {
+export function encodePermitRequest(ask: PermitRequestDatagram): unknown[] {
   const {name, incarnation, number, wanted, refused, limit} = ask;
   const counts = listCounts(wanted);
   return [name, incarnation, number, counts, refused, listLimit(limit)];
 }
 
 /** Reads an answer, without its kind. */
-export function readPermitAnswer(fields: TupleReader): PermitAnswerDatagram {
+export function readPermitResponse(
+  fields: TupleReader,
+): PermitResponseDatagram {
   return {
     kind: 'permit-answer',
     number: fields.readNumber(),
-    isIssuer: fields.readFlag(),
+    isIssuer: fields.readBoolean(),
     granted: fields.readTuple(readCounts),
     waitMs: fields.readNumber(),
     pauseMs: fields.readNumber(),
@@ -100,7 +102,9 @@
 }
 
 /** Gives the tuple of an answer, without its kind. */
-export function listPermitAnswer(answer: PermitAnswerDatagram): unknown[] {
+export function encodePermitResponse(
+  answer: PermitResponseDatagram,
+): unknown[] {
   const {number, isIssuer, granted, waitMs, limit} = answer;
   return [
     number,
@@ -113,17 +117,17 @@
   ];
 }
 
-function readLimit(fields: TupleReader): ToldLimit {
-  const instanceId = fields.readText();
+function readLimit(fields: TupleReader): ReportedLimit {
+  const instanceId = fields.readString();
   const perSecond = fields.readOptionalNumber();
   const ageMs = fields.readNumber();
   // A rate or an age that is no number would let all through, or nothing for good.
   const isWhole = Number.isFinite(perSecond ?? 0) && Number.isFinite(ageMs);
-  if (!isWhole) throw new TupleFault('a limit is no number');
+  if (!isWhole) throw new TupleError('a limit is no number');
   return {instanceId, perSecond, ageMs: Math.max(0, ageMs)};
 }
 
-function listLimit({instanceId, perSecond, ageMs}: ToldLimit): unknown[] {
+function listLimit({instanceId, perSecond, ageMs}: ReportedLimit): unknown[] {
   return [instanceId, perSecond, Math.round(ageMs)];
 }
 
--- a/packages/gateway/src/model/peer_codec.ts
+++ b/packages/gateway/src/model/peer_codec.ts
@@ -12,38 +12,38 @@
 import {getErrorText} from '@irisdock/kernel';
 import {err, ok, type Result} from 'neverthrow';
 import {
-  listLimits,
-  listPermitAnswer,
-  listPermitAsk,
+  encodeLimits,
+  encodePermitResponse,
+  encodePermitRequest,
   readLimits,
-  readPermitAnswer,
-  readPermitAsk,
+  readPermitResponse,
+  readPermitRequest,
 } from './limit_datagram.js';
 import type {
   GrantDatagram,
-  NewsDatagram,
+  TableUpdateDatagram,
   PeerDatagram,
-  PeerPlace,
-  PeerUse,
-  ToldUse,
-  UsesDatagram,
-  WatchDatagram,
+  PeerLocation,
+  PeerUsage,
+  EndpointUsageReport,
+  UsageDatagram,
+  MembershipDatagram,
 } from './peer_message.js';
 import {
-  listRolloutReport,
+  encodeRolloutReport,
   readRolloutPhase,
   readRolloutReport,
 } from './rollout_datagram.js';
 import {
-  listLeaseAnswer,
-  listLeaseAsk,
-  listLeaseEnd,
-  readLeaseAnswer,
-  readLeaseAsk,
-  readLeaseEnd,
+  encodeLeaseResponse,
+  encodeLeaseRequest,
+  encodeLeaseRelease,
+  readLeaseResponse,
+  readLeaseRequest,
+  readLeaseRelease,
 } from './run_lease_datagram.js';
 import {TupleReader} from './tuple_reader.js';
-import {FOLLOWED_TABLES} from './watched_table.js';
+import {REPLICATED_TABLES} from './table_store.js';
 
 const STATES = ['starting', 'ready', 'leaving'] as const;
 const WATCH_KINDS = ['answer', 'notice', 'probe', 'relay'] as const;
@@ -83,7 +83,7 @@
 }
 
 function readDatagram(fields: TupleReader): PeerDatagram {
-  const kind = fields.readOneOf(KINDS);
+  const kind = fields.readEnum(KINDS);
   switch (kind) {
     case 'w':
       return readWatch(fields);
@@ -94,9 +94,9 @@
     case 'q':
       return {
         kind: 'question',
-        name: fields.readText(),
+        name: fields.readString(),
         number: fields.readNumber(),
-        instanceIds: fields.readList((one) => one.readText()),
+        instanceIds: fields.readList((one) => one.readString()),
       };
     case 'a':
       return {
@@ -105,7 +105,7 @@
         uses: fields.readList(readToldUse),
       };
     case 'l':
-      return {kind: 'loss', instanceId: fields.readText()};
+      return {kind: 'loss', instanceId: fields.readString()};
     case 'r':
       return readRolloutReport(fields);
     case 'p':
@@ -113,50 +113,50 @@
     case 'c':
       return {kind: 'crashes', crashes: fields.readList(readCrash)};
     case 'd':
-      return {kind: 'cleared', content: fields.readText()};
+      return {kind: 'cleared', content: fields.readString()};
     case 'm':
       return readLimits(fields);
     case 'i':
-      return readPermitAsk(fields);
+      return readPermitRequest(fields);
     case 'g':
-      return readPermitAnswer(fields);
+      return readPermitResponse(fields);
     case 's':
-      return readLeaseAsk(fields);
+      return readLeaseRequest(fields);
     case 't':
-      return readLeaseAnswer(fields);
+      return readLeaseResponse(fields);
     case 'e':
-      return readLeaseEnd(fields);
+      return readLeaseRelease(fields);
   }
 }
 
 function readCrash(fields: TupleReader): Crash {
-  return {content: fields.readText(), instanceId: fields.readText()};
+  return {content: fields.readString(), instanceId: fields.readString()};
 }
 
-function readNews(fields: TupleReader): NewsDatagram {
+function readNews(fields: TupleReader): TableUpdateDatagram {
   return {
     kind: 'news',
-    table: fields.readOneOf(FOLLOWED_TABLES),
+    table: fields.readEnum(REPLICATED_TABLES),
     after: fields.readNumber(),
     revision: fields.readNumber(),
     newest: fields.readNumber(),
     ageMs: fields.readNumber(),
-    isTurn: fields.readFlag(),
-    source: fields.readText(),
-    isForGroup: fields.readFlag(),
+    isScheduledPoll: fields.readBoolean(),
+    source: fields.readString(),
+    isForGroup: fields.readBoolean(),
     packedRows: fields.readBytes(),
   };
 }
 
-function readWatch(fields: TupleReader): WatchDatagram {
+function readWatch(fields: TupleReader): MembershipDatagram {
   return {
     kind: 'watch',
     watch: {
-      kind: fields.readOneOf(WATCH_KINDS),
+      kind: fields.readEnum(WATCH_KINDS),
       sender: fields.readTuple(readRecord),
       place: fields.readOptionalTuple(readPlace),
-      asker: fields.readOptionalText(),
-      target: fields.readOptionalText(),
+      asker: fields.readOptionalString(),
+      target: fields.readOptionalString(),
       changes: fields.readList(readChange),
       recordsHash: fields.readNumber(),
     },
@@ -172,34 +172,34 @@
 
 function readRecord(fields: TupleReader): HostRecord {
   return {
-    name: fields.readText(),
+    name: fields.readString(),
     incarnation: fields.readNumber(),
     version: fields.readNumber(),
-    state: fields.readOneOf(STATES),
-    isStoreAway: fields.readFlag(),
+    state: fields.readEnum(STATES),
+    isStoreAway: fields.readBoolean(),
   };
 }
 
-function readPlace(fields: TupleReader): PeerPlace {
+function readPlace(fields: TupleReader): PeerLocation {
   return {
-    failureDomain: fields.readText(),
-    datagrams: fields.readText(),
-    tables: fields.readText(),
-    callers: fields.readText(),
+    failureDomain: fields.readString(),
+    datagrams: fields.readString(),
+    tables: fields.readString(),
+    callers: fields.readString(),
   };
 }
 
-function readChange(fields: TupleReader): HostChange<PeerPlace> {
+function readChange(fields: TupleReader): HostChange<PeerLocation> {
   return {
     record: fields.readTuple(readRecord),
-    isSuspected: fields.readFlag(),
+    isSuspected: fields.readBoolean(),
     place: fields.readOptionalTuple(readPlace),
   };
 }
 
 function readReport(fields: TupleReader): ReaderReport {
   return {
-    name: fields.readText(),
+    name: fields.readString(),
     incarnation: fields.readNumber(),
     sequence: fields.readNumber(),
     configurationRevision: fields.readNumber(),
@@ -208,11 +208,11 @@
   };
 }
 
-function readUses(fields: TupleReader): UsesDatagram {
-  const name = fields.readText();
+function readUses(fields: TupleReader): UsageDatagram {
+  const name = fields.readString();
   const incarnation = fields.readNumber();
   const sequence = fields.readNumber();
-  const uses: Record<string, PeerUse> = {};
+  const uses: Record<string, PeerUsage> = {};
   for (const one of fields.readList(readToldUse)) {
     const {running, unreadTokens, expectedTokens} = one;
     uses[one.instanceId] = {running, unreadTokens, expectedTokens};
@@ -220,9 +220,9 @@
   return {kind: 'uses', name, incarnation, sequence, uses};
 }
 
-function readToldUse(fields: TupleReader): ToldUse {
+function readToldUse(fields: TupleReader): EndpointUsageReport {
   return {
-    instanceId: fields.readText(),
+    instanceId: fields.readString(),
     running: fields.readNumber(),
     unreadTokens: fields.readNumber(),
     expectedTokens: fields.readNumber(),
@@ -244,7 +244,7 @@
     }
     case 'news': {
       const {table, after, revision, newest, source} = datagram;
-      const {isTurn, isForGroup, packedRows} = datagram;
+      const {isScheduledPoll: isTurn, isForGroup, packedRows} = datagram;
       const ageMs = Math.round(datagram.ageMs);
       return encode([
         'n',
@@ -268,7 +268,7 @@
     case 'loss':
       return encode(['l', datagram.instanceId]);
     case 'rollout-report':
-      return encode(['r', ...listRolloutReport(datagram)]);
+      return encode(['r', ...encodeRolloutReport(datagram)]);
     case 'rollout-phase': {
       const {service, revision, phase} = datagram;
       return encode(['p', service, revision, phase]);
@@ -290,21 +290,21 @@
 function encodeGrant(datagram: GrantDatagram): Uint8Array {
   switch (datagram.kind) {
     case 'limits':
-      return encode(['m', ...listLimits(datagram)]);
+      return encode(['m', ...encodeLimits(datagram)]);
     case 'permit-ask':
-      return encode(['i', ...listPermitAsk(datagram)]);
+      return encode(['i', ...encodePermitRequest(datagram)]);
     case 'permit-answer':
-      return encode(['g', ...listPermitAnswer(datagram)]);
+      return encode(['g', ...encodePermitResponse(datagram)]);
     case 'lease-ask':
-      return encode(['s', ...listLeaseAsk(datagram)]);
+      return encode(['s', ...encodeLeaseRequest(datagram)]);
     case 'lease-answer':
-      return encode(['t', ...listLeaseAnswer(datagram)]);
+      return encode(['t', ...encodeLeaseResponse(datagram)]);
     case 'lease-end':
-      return encode(['e', ...listLeaseEnd(datagram)]);
+      return encode(['e', ...encodeLeaseRelease(datagram)]);
   }
 }
 
-function listToldUse(told: ToldUse): unknown[] {
+function listToldUse(told: EndpointUsageReport): unknown[] {
   return [
     told.instanceId,
     told.running,
@@ -319,7 +319,7 @@
   revisions,
   reports,
   sentAt,
-}: WatchDatagram): Uint8Array {
+}: MembershipDatagram): Uint8Array {
   return encode([
     'w',
     watch.kind,
@@ -351,7 +351,7 @@
   return [name, incarnation, version, state, isStoreAway];
 }
 
-function listPlace(place: PeerPlace | undefined): string[] | undefined {
+function listPlace(place: PeerLocation | undefined): string[] | undefined {
   if (place === undefined) return undefined;
   return [place.failureDomain, place.datagrams, place.tables, place.callers];
 }
--- a/packages/gateway/src/model/peer_message.ts
+++ b/packages/gateway/src/model/peer_message.ts
@@ -10,19 +10,19 @@
 } from '@irisdock/decisions';
 import type {
   LimitsDatagram,
-  PermitAnswerDatagram,
-  PermitAskDatagram,
+  PermitResponseDatagram,
+  PermitRequestDatagram,
 } from './limit_datagram.js';
 import type {
-  LeaseAnswerDatagram,
-  LeaseAskDatagram,
-  LeaseEndDatagram,
+  LeaseResponseDatagram,
+  LeaseRequestDatagram,
+  LeaseReleaseDatagram,
 } from './run_lease_datagram.js';
 import type {RolloutReport} from './rollout_order.js';
-import type {FollowedTable} from './watched_table.js';
+import type {ReplicatedTable} from './table_store.js';
 
 /** Where a host can be reached by other hosts and by callers. */
-export interface PeerPlace {
+export interface PeerLocation {
   readonly failureDomain: string;
   /** Where it takes datagrams, as `ip:port`. */
   readonly datagrams: string;
@@ -33,19 +33,19 @@
 }
 
 /** What a host has at one endpoint. */
-export interface PeerUse {
+export interface PeerUsage {
   readonly running: number;
   readonly unreadTokens: number;
   readonly expectedTokens: number;
 }
 
 /** The highest revision of a change that a host knows, by table. */
-export type TableRevisions = Readonly<Record<FollowedTable, number>>;
+export type TableRevisions = Readonly<Record<ReplicatedTable, number>>;
 
 /** By which hosts keep track of each other. */
-export interface WatchDatagram {
+export interface MembershipDatagram {
   readonly kind: 'watch';
-  readonly watch: WatchMessage<PeerPlace>;
+  readonly watch: WatchMessage<PeerLocation>;
   readonly revisions: TableRevisions;
   readonly reports: readonly ReaderReport[];
   /** The sender's steady clock, in ms. */
@@ -56,9 +56,9 @@
  * What the store has just shown of a table: changes that follow on a known one,
  * if there are any, and which change is the newest.
  */
-export interface NewsDatagram {
+export interface TableUpdateDatagram {
   readonly kind: 'news';
-  readonly table: FollowedTable;
+  readonly table: ReplicatedTable;
   /** The highest revision of a change before these. */
   readonly after: number;
   readonly revision: number;
@@ -67,7 +67,7 @@
   /** How long ago that was so, in ms. */
   readonly ageMs: number;
   /** Whether a reader of the store tells, and not a host that asked out of turn. */
-  readonly isTurn: boolean;
+  readonly isScheduledPoll: boolean;
   /** Where the newest change is to be had, as `ip:port`. */
   readonly source: string;
   /** Whether who takes it passes it on to its group. */
@@ -77,24 +77,24 @@
 }
 
 /** What a host has running, by the instance id of the endpoint. */
-export interface UsesDatagram {
+export interface UsageDatagram {
   readonly kind: 'uses';
   readonly name: string;
   readonly incarnation: number;
   /** Rises with each datagram of this kind in one life of the host. */
   readonly sequence: number;
-  readonly uses: Readonly<Record<string, PeerUse>>;
+  readonly uses: Readonly<Record<string, PeerUsage>>;
 }
 
 /** What one host knows of what runs on an engine. */
-export interface ToldUse extends PeerUse {
+export interface EndpointUsageReport extends PeerUsage {
   readonly instanceId: string;
   /** Recent failures, fading; 0 for a sound engine. */
   readonly failures: number;
 }
 
 /** Asks what runs on engines, but for what the asking host has there. */
-export interface QuestionDatagram {
+export interface UsageQueryDatagram {
   readonly kind: 'question';
   readonly name: string;
   /** Told again in the answer. */
@@ -103,14 +103,14 @@
 }
 
 /** The answer to a question. */
-export interface AnswerDatagram {
+export interface UsageReplyDatagram {
   readonly kind: 'answer';
   readonly number: number;
-  readonly uses: readonly ToldUse[];
+  readonly uses: readonly EndpointUsageReport[];
 }
 
 /** Says that an engine took no connection. */
-export interface LossDatagram {
+export interface EndpointUnreachableDatagram {
   readonly kind: 'loss';
   readonly instanceId: string;
 }
@@ -122,7 +122,7 @@
 }
 
 /** Says that a content ends no endpoints, whatever was told before. */
-export interface ClearedDatagram {
+export interface ContentClearedDatagram {
   readonly kind: 'cleared';
   readonly content: string;
 }
@@ -148,23 +148,23 @@
 
 /** A datagram about what one host grants to the others. */
 export type GrantDatagram =
-  | LeaseAnswerDatagram
-  | LeaseAskDatagram
-  | LeaseEndDatagram
+  | LeaseResponseDatagram
+  | LeaseRequestDatagram
+  | LeaseReleaseDatagram
   | LimitsDatagram
-  | PermitAnswerDatagram
-  | PermitAskDatagram;
+  | PermitResponseDatagram
+  | PermitRequestDatagram;
 
 /** A datagram. */
 export type PeerDatagram =
-  | AnswerDatagram
-  | ClearedDatagram
+  | UsageReplyDatagram
+  | ContentClearedDatagram
   | CrashesDatagram
   | GrantDatagram
-  | LossDatagram
-  | NewsDatagram
-  | QuestionDatagram
+  | EndpointUnreachableDatagram
+  | TableUpdateDatagram
+  | UsageQueryDatagram
   | RolloutPhaseDatagram
   | RolloutReportDatagram
-  | UsesDatagram
-  | WatchDatagram;
+  | UsageDatagram
+  | MembershipDatagram;
--- a/packages/gateway/src/model/peer_tables_message.ts
+++ b/packages/gateway/src/model/peer_tables_message.ts
@@ -4,7 +4,7 @@
  */
 import type {ReplicaRow} from '@irisdock/decisions';
 import * as z from 'zod';
-import {FOLLOWED_TABLES} from './watched_table.js';
+import {REPLICATED_TABLES} from './table_store.js';
 
 /** The path of the call. */
 export const PEER_TABLES_PATH = '/peer/tables';
@@ -44,7 +44,7 @@
   ),
   parts: z.array(
     z.object({
-      table: z.enum(FOLLOWED_TABLES),
+      table: z.enum(REPLICATED_TABLES),
       rows: z.array(TABLE_ROW_SCHEMA),
       revision: z.number(),
       /** How long ago the copy was certainly the newest, in ms. */
--- a/packages/gateway/src/model/request_terms.ts
+++ b/packages/gateway/src/model/request_metadata.ts
@@ -14,7 +14,7 @@
 }
 
 /** What a caller says of its request. */
-export interface RequestTerms {
+export interface RequestMetadata {
   /** Names this try of the caller; undefined when the caller gave none. */
   readonly requestId: string | undefined;
   readonly key: string | undefined;
@@ -27,7 +27,7 @@
   /** The most tokens that may be generated; 0 when it is not told. */
   readonly maxOutputTokens: number;
   /** The caller's guess at the tokens generated; undefined without one. */
-  readonly guessedOutputTokens: number | undefined;
+  readonly estimatedOutputTokens: number | undefined;
   /** The parts of the prompt in order; the last is the request's own. */
   readonly promptParts: readonly PromptPart[];
 }
@@ -36,7 +36,7 @@
 export type HeaderLines = readonly (readonly [string, string])[];
 
 /** A run on another engine whose memory this request goes on from. */
-export interface MemorySource {
+export interface KvCacheSource {
   /** The address of the engine that ran it. */
   readonly address: string;
   /** The request id under which it ran there, or the name of its copy. */
@@ -44,7 +44,7 @@
 }
 
 /** What this system says to an endpoint with a request. */
-export interface SendTerms {
+export interface SendMetadata {
   /** Only the endpoint of this name may run it. */
   readonly endpointId: string;
   /** The team whose key the caller had. */
@@ -55,18 +55,18 @@
   readonly lastEventId: number | undefined;
   /** Where the engine keeps a copy of the running request. */
   readonly backupAddress: string | undefined;
-  readonly memorySource: MemorySource | undefined;
+  readonly kvCacheSource: KvCacheSource | undefined;
 }
 
 /** The load that an endpoint told with an answer. */
-export interface ToldLoad {
+export interface ReportedLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
 }
 
 /** What an endpoint says with an answer. */
-export interface AnswerTerms {
+export interface ResponseMetadata {
   /** The request that it answers; undefined when it does not say. */
   readonly requestId: string | undefined;
   /** Whether the answer carries the endpoint's signature. */
@@ -75,7 +75,7 @@
   readonly isNotRun: boolean;
   /** Which endpoint answered; undefined when it does not say. */
   readonly endpointId: string | undefined;
-  readonly load: ToldLoad | undefined;
+  readonly load: ReportedLoad | undefined;
   /** The limit on requests that it names; undefined when it names none. */
   readonly limit: NamedLimit | undefined;
   /** Whether the endpoint announces that it is leaving. */
@@ -92,7 +92,7 @@
 }
 
 /** Translates the calls by which a run's memory is copied. */
-export interface CopyCodec {
+export interface KvCacheCopyCodec {
   /** Asks the engine that runs a request to copy its memory to another. */
   encodeCopy(requestId: string, targetAddress: string): EngineCall;
   /** Gives the name of the copy; undefined when none was made. */
@@ -115,14 +115,14 @@
 }
 
 /** Translates the call that tells which prompts an engine keeps. */
-export interface KeptPromptCodec {
+export interface PromptCacheCodec {
   /** Asks an engine which parts of prompts it keeps. */
-  encodeListKept(): EngineCall;
+  encodeListCached(): EngineCall;
   /**
    * Gives the tokens kept of each part, by the part's id; undefined when the
    * answer cannot be used.
    */
-  decodeListKept(
+  decodeListCached(
     status: number,
     body: string,
   ): ReadonlyMap<string, number> | undefined;
@@ -132,10 +132,10 @@
 export interface HeaderCodec {
   /** The path at which an engine reports its state. */
   readonly reportPath: string;
-  decodeRequest(lines: HeaderLines): RequestTerms;
+  decodeRequest(lines: HeaderLines): RequestMetadata;
   /** Gives the caller's lines that go to an endpoint, with ours. */
-  encodeSend(callerLines: HeaderLines, terms: SendTerms): HeaderLines;
-  decodeAnswer(lines: HeaderLines): AnswerTerms;
+  encodeRequest(callerLines: HeaderLines, terms: SendMetadata): HeaderLines;
+  decodeResponse(lines: HeaderLines): ResponseMetadata;
   /** Gives the lines of an endpoint's answer that go to the caller. */
-  encodeAnswer(answerLines: HeaderLines): HeaderLines;
+  encodeResponse(answerLines: HeaderLines): HeaderLines;
 }
--- a/packages/gateway/src/model/rollout_datagram.ts
+++ b/packages/gateway/src/model/rollout_datagram.ts
@@ -15,7 +15,7 @@
 export function readRolloutReport(fields: TupleReader): RolloutReportDatagram {
   return {
     kind: 'rollout-report',
-    name: fields.readText(),
+    name: fields.readString(),
     incarnation: fields.readNumber(),
     sequence: fields.readNumber(),
     reports: fields.readList(readReport),
@@ -23,7 +23,7 @@
 }
 
 /** Gives the tuple of a report, without its kind. */
-export function listRolloutReport(report: RolloutReportDatagram): unknown[] {
+export function encodeRolloutReport(report: RolloutReportDatagram): unknown[] {
   const {name, incarnation, sequence, reports} = report;
   return [name, incarnation, sequence, reports.map(listReport)];
 }
@@ -32,17 +32,17 @@
 export function readRolloutPhase(fields: TupleReader): RolloutPhaseDatagram {
   return {
     kind: 'rollout-phase',
-    service: fields.readText(),
+    service: fields.readString(),
     revision: fields.readNumber(),
-    phase: fields.readOneOf(ROLLOUT_PHASES),
+    phase: fields.readEnum(ROLLOUT_PHASES),
   };
 }
 
 function readReport(fields: TupleReader): RolloutReport {
   return {
-    service: fields.readText(),
+    service: fields.readString(),
     revision: fields.readNumber(),
-    phase: fields.readOneOf(ROLLOUT_PHASES),
+    phase: fields.readEnum(ROLLOUT_PHASES),
     requests: fields.readNumber(),
     trialSends: fields.readNumber(),
     oldRunning: fields.readNumber(),
@@ -69,7 +69,7 @@
 
 function readRoute(fields: TupleReader): RouteCount {
   return {
-    route: fields.readText(),
+    route: fields.readString(),
     answers: fields.readNumber(),
     bad: fields.readNumber(),
     byEndpoint: fields.readList(readEndpoint),
@@ -78,7 +78,7 @@
 
 function readEndpoint(fields: TupleReader): EndpointCount {
   return {
-    instanceId: fields.readText(),
+    instanceId: fields.readString(),
     answers: fields.readNumber(),
     bad: fields.readNumber(),
   };
--- a/packages/gateway/src/model/run_lease_datagram.ts
+++ b/packages/gateway/src/model/run_lease_datagram.ts
@@ -12,7 +12,7 @@
 }
 
 /** Requests or renews the lease. */
-export interface LeaseAskDatagram extends LeasedRun {
+export interface LeaseRequestDatagram extends LeasedRun {
   readonly kind: 'lease-ask';
   /** The same when the request is sent again; returned in the answer. */
   readonly number: number;
@@ -21,7 +21,7 @@
 }
 
 /** Answers a request. */
-export interface LeaseAnswerDatagram {
+export interface LeaseResponseDatagram {
   readonly kind: 'lease-answer';
   readonly number: number;
   readonly isGranted: boolean;
@@ -32,57 +32,57 @@
 }
 
 /** Ends the lease, or the waiting for it. */
-export interface LeaseEndDatagram extends LeasedRun {
+export interface LeaseReleaseDatagram extends LeasedRun {
   readonly kind: 'lease-end';
 }
 
 /** Reads a request, without its kind. */
-export function readLeaseAsk(fields: TupleReader): LeaseAskDatagram {
+export function readLeaseRequest(fields: TupleReader): LeaseRequestDatagram {
   return {
     kind: 'lease-ask',
     ...readRun(fields),
     number: fields.readNumber(),
-    isRenewal: fields.readFlag(),
+    isRenewal: fields.readBoolean(),
   };
 }
 
 /** Gives the tuple of a request, without its kind. */
-export function listLeaseAsk(ask: LeaseAskDatagram): unknown[] {
+export function encodeLeaseRequest(ask: LeaseRequestDatagram): unknown[] {
   return [...listRun(ask), ask.number, ask.isRenewal];
 }
 
 /** Reads an answer, without its kind. */
-export function readLeaseAnswer(fields: TupleReader): LeaseAnswerDatagram {
+export function readLeaseResponse(fields: TupleReader): LeaseResponseDatagram {
   return {
     kind: 'lease-answer',
     number: fields.readNumber(),
-    isGranted: fields.readFlag(),
+    isGranted: fields.readBoolean(),
     waitMs: Math.max(0, fields.readNumber()),
-    instanceIds: fields.readList((one) => one.readText()),
+    instanceIds: fields.readList((one) => one.readString()),
   };
 }
 
 /** Gives the tuple of an answer, without its kind. */
-export function listLeaseAnswer(answer: LeaseAnswerDatagram): unknown[] {
+export function encodeLeaseResponse(answer: LeaseResponseDatagram): unknown[] {
   const {number, isGranted, waitMs, instanceIds} = answer;
   const ids = instanceIds.map((instanceId) => [instanceId]);
   return [number, isGranted, Math.ceil(waitMs), ids];
 }
 
 /** Reads the end of a lease, without its kind. */
-export function readLeaseEnd(fields: TupleReader): LeaseEndDatagram {
+export function readLeaseRelease(fields: TupleReader): LeaseReleaseDatagram {
   return {kind: 'lease-end', ...readRun(fields)};
 }
 
 /** Gives the tuple of the end of a lease, without its kind. */
-export function listLeaseEnd(end: LeaseEndDatagram): unknown[] {
+export function encodeLeaseRelease(end: LeaseReleaseDatagram): unknown[] {
   return listRun(end);
 }
 
 function readRun(fields: TupleReader): LeasedRun {
   return {
-    content: fields.readText(),
-    name: fields.readText(),
+    content: fields.readString(),
+    name: fields.readString(),
     incarnation: fields.readNumber(),
     run: fields.readNumber(),
   };
--- a/packages/gateway/src/model/serving_configuration.ts
+++ b/packages/gateway/src/model/serving_configuration.ts
@@ -87,7 +87,7 @@
 /** A service. */
 export type ServingService = z.infer<typeof SERVICE_SCHEMA>;
 /** What a service's engines can do. */
-export type EngineAbilities = z.infer<typeof ENGINE_SCHEMA>;
+export type EngineCapabilities = z.infer<typeof ENGINE_SCHEMA>;
 /** A team. */
 export type ServingTeam = z.infer<typeof TEAM_SCHEMA>;
 /** Bounds on what callers may send. */
--- a/packages/gateway/src/model/watched_table.ts
+++ b/packages/gateway/src/model/table_store.ts
@@ -7,7 +7,7 @@
 import type {Result} from 'neverthrow';
 
 /** A row; without a value it was deleted at that revision. */
-export interface TableChange {
+export interface TableRow {
   readonly key: string;
   readonly value: string | undefined;
   readonly revision: number;
@@ -17,13 +17,13 @@
  * Rows as of one revision, or newer ones of a table that changed while it was
  * read: whoever follows the changes after the revision misses none.
  */
-export interface TablePart {
-  readonly rows: readonly TableChange[];
+export interface TableRows {
+  readonly rows: readonly TableRow[];
   readonly revision: number;
 }
 
 /** The names of the tables, as this project uses them. */
-export const TABLES = [
+export const TABLE_NAMES = [
   'configuration',
   'crashes',
   'endpoints',
@@ -31,16 +31,16 @@
   'rollouts',
 ] as const;
 /** The name of a table. */
-export type TableName = (typeof TABLES)[number];
+export type TableName = (typeof TABLE_NAMES)[number];
 
 /** The tables that every host keeps a copy of. */
-export const FOLLOWED_TABLES = [
+export const REPLICATED_TABLES = [
   'configuration',
   'endpoints',
   'crashes',
 ] as const;
 /** The name of a followed table. */
-export type FollowedTable = (typeof FOLLOWED_TABLES)[number];
+export type ReplicatedTable = (typeof REPLICATED_TABLES)[number];
 
 /** What becomes of a row: its new value, or undefined to delete it. */
 export interface RowChange {
@@ -61,9 +61,9 @@
 export type StoreError = KnownError<StoreErrorKind>;
 
 /** The store, as the services of this package use it. */
-export interface WatchedStore {
+export interface TableStore {
   /** Reads all rows of a table. */
-  readAll(table: TableName): Promise<Result<TablePart, StoreError>>;
+  readAll(table: TableName): Promise<Result<TableRows, StoreError>>;
   /**
    * Waits for changes after a revision.
    *
@@ -73,7 +73,7 @@
     table: TableName,
     after: number,
     waitMs: number,
-  ): Promise<Result<TablePart, StoreError>>;
+  ): Promise<Result<TableRows, StoreError>>;
   /** Writes a row. */
   write(
     table: TableName,
--- a/packages/gateway/src/model/table_news.ts
+++ b/packages/gateway/src/model/table_update.ts
@@ -13,7 +13,7 @@
 } from './peer_tables_message.js';
 
 /** Rows that follow on a change, and the change that they lead to. */
-export interface NewsPart {
+export interface UpdatePart {
   readonly after: number;
   readonly revision: number;
   readonly packedRows: Uint8Array;
@@ -38,12 +38,12 @@
  *
  * @returns Undefined when a row does not fit into a part.
  */
-export function createNewsParts(
+export function createUpdateParts(
   rows: readonly ReplicaRow[],
   after: number,
   revision: number,
-): NewsPart[] | undefined {
-  const parts: NewsPart[] = [];
+): UpdatePart[] | undefined {
+  const parts: UpdatePart[] = [];
   let from = 0;
   let known = after;
   while (from < rows.length) {
--- a/packages/gateway/src/model/tuple_reader.ts
+++ b/packages/gateway/src/model/tuple_reader.ts
@@ -6,7 +6,7 @@
  */
 
 /** Says which field is not what it should be. */
-export class TupleFault extends Error {}
+export class TupleError extends Error {}
 
 /** Reads one tuple. */
 export class TupleReader {
@@ -14,7 +14,7 @@
   private at = 0;
 
   constructor(value: unknown) {
-    if (!Array.isArray(value)) throw new TupleFault('it is no tuple');
+    if (!Array.isArray(value)) throw new TupleError('it is no tuple');
     this.fields = value;
   }
 
@@ -24,13 +24,13 @@
     return value;
   }
 
-  readText(): string {
+  readString(): string {
     const value = this.readNext();
     if (typeof value !== 'string') throw this.createFault('text');
     return value;
   }
 
-  readFlag(): boolean {
+  readBoolean(): boolean {
     const value = this.readNext();
     if (typeof value !== 'boolean') throw this.createFault('yes or no');
     return value;
@@ -43,16 +43,16 @@
   }
 
   /** Reads one of the given texts. */
-  readOneOf<T extends string>(allowed: readonly T[]): T {
-    const text = this.readText();
+  readEnum<T extends string>(allowed: readonly T[]): T {
+    const text = this.readString();
     const found = allowed.find((one) => one === text);
     if (found === undefined) throw this.createFault(allowed.join(' or '));
     return found;
   }
 
   /** Reads a text that may be absent. */
-  readOptionalText(): string | undefined {
-    return this.isNextAbsent() ? undefined : this.readText();
+  readOptionalString(): string | undefined {
+    return this.isNextAbsent() ? undefined : this.readString();
   }
 
   /** Reads a number that may be absent. */
@@ -89,7 +89,7 @@
     return true;
   }
 
-  private createFault(wanted: string): TupleFault {
-    return new TupleFault(`field ${this.at} is no ${wanted}`);
+  private createFault(wanted: string): TupleError {
+    return new TupleError(`field ${this.at} is no ${wanted}`);
   }
 }
--- a/packages/gateway/src/services/configuration.ts
+++ b/packages/gateway/src/services/configuration.ts
@@ -12,7 +12,7 @@
   ServingRoute,
   ServingService,
 } from '../model/serving_configuration.js';
-import type {RowCodec} from '../model/watched_table.js';
+import type {RowCodec} from '../model/table_store.js';
 import {CODECS} from './store.js';
 import {TABLES_KEY} from '../tables/tables.js';
 
@@ -154,7 +154,7 @@
     const api = new GatewayConfiguration(codec, context.log);
     const {configuration: table} = context.find(TABLES_KEY);
     api.applyRows(table.replica.listAll());
-    void table.news.observe((rows) => {
+    void table.changes.observe((rows) => {
       api.applyRows(rows);
     });
     new Gauge({
--- a/packages/gateway/src/services/crash_store.ts
+++ b/packages/gateway/src/services/crash_store.ts
@@ -5,8 +5,8 @@
  */
 import type {Crash} from '@irisdock/decisions';
 import type {Clock, Logger} from '@irisdock/kernel';
-import {formatCrashKey, formatCrashNote} from '../model/crash_row.js';
-import type {RowChange, WatchedStore} from '../model/watched_table.js';
+import {formatCrashKey, formatCrashValue} from '../model/crash_row.js';
+import type {RowChange, TableStore} from '../model/table_store.js';
 
 /** The least time between two calls of one host, in ms; bounds their rate. */
 const PAUSE_MS = 100;
@@ -20,7 +20,7 @@
 /** What keeping crashes needs of the rest. */
 export interface CrashStoreParts {
   readonly host: string;
-  readonly store: WatchedStore;
+  readonly store: TableStore;
   readonly clock: Clock;
   readonly log: Logger;
   /** Whether the store is known to have a row. */
@@ -41,7 +41,7 @@
   /** Writes the rows of crashes that the store lacks. */
   saveCrashes(crashes: readonly Crash[]): void {
     const {host, clock, hasRow} = this.parts;
-    const note = formatCrashNote({host, at: clock.getWallNow()});
+    const note = formatCrashValue({host, at: clock.getWallNow()});
     for (const crash of crashes) {
       const key = formatCrashKey(crash);
       if (this.waiting.get(key) === undefined && !hasRow(key)) {
--- a/packages/gateway/src/services/crashes.ts
+++ b/packages/gateway/src/services/crashes.ts
@@ -71,7 +71,7 @@
     };
     peers.boards.crashes = api;
     applyRows(table.replica.listAll(), index, api);
-    void table.news.observe((rows) => {
+    void table.changes.observe((rows) => {
       applyRows(rows, index, api);
     });
     void table.restored.observe(() => {
--- a/packages/gateway/src/services/endpoint_uses.ts
+++ b/packages/gateway/src/services/endpoint_uses.ts
@@ -3,7 +3,7 @@
  * between the records of endpoints and what hosts say to each other.
  */
 import type {HousedEngine} from '@irisdock/decisions';
-import type {ToldUse} from '../model/peer_message.js';
+import type {EndpointUsageReport} from '../model/peer_message.js';
 import type {EndpointUse} from '../serving/endpoint_record.js';
 import type {GatewayEndpoints} from './gateway_endpoints.js';
 import type {HostUses, UseBoard} from './use_notices.js';
@@ -40,7 +40,10 @@
     return uses;
   }
 
-  findUseBut(instanceId: string, host: string): ToldUse | undefined {
+  findUseBut(
+    instanceId: string,
+    host: string,
+  ): EndpointUsageReport | undefined {
     const record = this.endpoints.find(instanceId);
     if (record?.isUsable !== true) return undefined;
     const use = record.getUseBut(host);
--- a/packages/gateway/src/services/endpoints.ts
+++ b/packages/gateway/src/services/endpoints.ts
@@ -41,13 +41,14 @@
         help: 'Entries that named no endpoint, a count.',
         registers: [context.metrics],
       }),
-      getDepartureDelay: () => peers.standing.getDepartureDelay(clock.getNow()),
+      getDepartureDelay: () =>
+        peers.standing.getDepartureDelayMs(clock.getNow()),
       peers,
       pauses: new EndpointPauses(clock, log),
     });
     peers.useBoard = new EndpointUses(api);
     api.applyRows(table.replica.listAll());
-    void table.news.observe((rows) => {
+    void table.changes.observe((rows) => {
       api.applyRows(rows);
     });
     new Gauge({
--- a/packages/gateway/src/services/engine_groups.ts
+++ b/packages/gateway/src/services/engine_groups.ts
@@ -12,7 +12,7 @@
   type KnownHost,
 } from '@irisdock/decisions';
 import {getShuffled, type Random} from '@irisdock/kernel';
-import type {PeerPlace} from '../model/peer_message.js';
+import type {PeerLocation} from '../model/peer_message.js';
 
 /** The engines that are known here. */
 export interface EngineList {
@@ -42,20 +42,20 @@
 
   constructor(
     private readonly ownName: string,
-    private readonly ownPlace: PeerPlace,
-    private readonly view: HostView<PeerPlace>,
+    private readonly ownPlace: PeerLocation,
+    private readonly view: HostView<PeerLocation>,
     private readonly random: Random,
   ) {}
 
   /** Lists the other hosts of this host's group. */
-  listGroup(): KnownHost<PeerPlace>[] {
+  listGroup(): KnownHost<PeerLocation>[] {
     return this.listHosts(this.getHomes().group);
   }
 
   /** Lists a few hosts of each other group, drawn at random. */
-  listRelays(): KnownHost<PeerPlace>[] {
+  listRelays(): KnownHost<PeerLocation>[] {
     const {groups, group: own} = this.getHomes();
-    const relays: KnownHost<PeerPlace>[] = [];
+    const relays: KnownHost<PeerLocation>[] = [];
     for (const group of groups) {
       if (group === own) continue;
       const hosts = getShuffled(this.listHosts(group), this.random);
@@ -71,12 +71,12 @@
   }
 
   /** Lists the other hosts of the group that is the home of an engine. */
-  listHomeHosts(instanceId: string): KnownHost<PeerPlace>[] {
+  listHomeHosts(instanceId: string): KnownHost<PeerLocation>[] {
     return this.listHosts(this.getHomes().homes.get(instanceId));
   }
 
-  private listHosts(group: HostGroup | undefined): KnownHost<PeerPlace>[] {
-    const hosts: KnownHost<PeerPlace>[] = [];
+  private listHosts(group: HostGroup | undefined): KnownHost<PeerLocation>[] {
+    const hosts: KnownHost<PeerLocation>[] = [];
     for (const name of group?.names ?? []) {
       const host = this.view.find(name);
       if (host !== undefined) hosts.push(host);
--- a/packages/gateway/src/services/gateway_endpoints.ts
+++ b/packages/gateway/src/services/gateway_endpoints.ts
@@ -10,7 +10,7 @@
 import {err, ok, type Result} from 'neverthrow';
 import type {Counter} from 'prom-client';
 import {formatInstanceId, type EndpointEntry} from '../model/endpoint_entry.js';
-import type {RowCodec} from '../model/watched_table.js';
+import type {RowCodec} from '../model/table_store.js';
 import {EndpointRecord, type GoneCause} from '../serving/endpoint_record.js';
 import {AddressIndex} from './address_index.js';
 import type {EndpointPauses} from './endpoint_pauses.js';
--- a/packages/gateway/src/services/host_tracker.ts
+++ b/packages/gateway/src/services/host_tracker.ts
@@ -14,10 +14,10 @@
 } from '@irisdock/decisions';
 import type {Clock, Logger, Random} from '@irisdock/kernel';
 import type {PeerTableSource} from '../tables/peer_table_source.js';
-import type {PeerPlace, WatchDatagram} from '../model/peer_message.js';
+import type {PeerLocation, MembershipDatagram} from '../model/peer_message.js';
 import {PeerTableLoader} from '../tables/peer_table_loader.js';
 import {sortShownHosts, type HeardHost, type ShownHost} from './shown_hosts.js';
-import {StoreStanding} from '../tables/store_standing.js';
+import {StoreStatus} from '../tables/store_status.js';
 import type {Tables} from '../tables/tables.js';
 import type {SendToHosts} from './use_notices.js';
 
@@ -27,7 +27,7 @@
 /** A host that is believed to be alive. */
 export interface AliveHost {
   readonly record: HostRecord;
-  readonly place: PeerPlace;
+  readonly place: PeerLocation;
 }
 
 /** What the tracker needs of the rest. */
@@ -35,7 +35,7 @@
   readonly name: string;
   readonly incarnation: number;
   /** Where others reach this host. */
-  readonly place: PeerPlace;
+  readonly place: PeerLocation;
   /** The time between two beats, in ms. */
   readonly beatMs: number;
   /** Whether other hosts may run that are not known yet. */
@@ -74,9 +74,9 @@
 export class HostTracker {
   /** Whether this host takes callers; set by the service that knows. */
   getState: () => PeerState = () => 'starting';
-  readonly standing: StoreStanding;
+  readonly standing: StoreStatus;
   readonly loader: PeerTableLoader;
-  private readonly watch: HostWatch<PeerPlace>;
+  private readonly watch: HostWatch<PeerLocation>;
   private readonly reports = new ReaderReports();
   private readonly suspension = new SuspensionWatch();
   private readonly closing = new AbortController();
@@ -119,11 +119,11 @@
         this.planFresh();
       },
     );
-    this.standing = new StoreStanding(this.view, tables, this.reports);
+    this.standing = new StoreStatus(this.view, tables, this.reports);
   }
 
   /** The other hosts as this one knows them. */
-  get view(): HostView<PeerPlace> {
+  get view(): HostView<PeerLocation> {
     return this.watch.view;
   }
 
@@ -175,7 +175,7 @@
   /** Does what is due in a beat. */
   startBeat(now: number): void {
     this.updateOwn(now);
-    this.standing.updateReading(this.isAlone);
+    this.standing.updateRole(this.isAlone);
     this.sendWatch(this.watch.startBeat(now), now);
     for (const host of this.watch.takeSilent()) {
       this.parts.log.writeInfo('A host does not answer.', {host});
@@ -197,7 +197,7 @@
   }
 
   /** Takes a message of another host. */
-  accept({watch, revisions, reports, sentAt}: WatchDatagram): void {
+  accept({watch, revisions, reports, sentAt}: MembershipDatagram): void {
     const {name, incarnation} = watch.sender;
     if (name === this.parts.name) return;
     this.checkClock(name, incarnation, sentAt);
@@ -211,7 +211,7 @@
     const sender = this.view.find(name);
     if (sender === undefined) return;
     this.heard.set(name, {revisions, at: now});
-    this.loader.markRevisions(revisions, sender.place.tables, now);
+    this.loader.recordRevisions(revisions, sender.place.tables, now);
     this.compareRecords(watch.recordsHash, sender.place.tables, now);
   }
 
@@ -237,7 +237,7 @@
   }
 
   private updateOwn(now: number): void {
-    const isStoreAway = this.standing.isAway(now);
+    const isStoreAway = this.standing.hasStoreFailedRecently(now);
     this.watch.updateOwn({state: this.getState(), isStoreAway});
   }
 
@@ -259,7 +259,7 @@
     this.sendWatch(this.watch.startNotices(), this.freshAt);
   }
 
-  private sendWatch(sent: OutgoingWatch<PeerPlace>[], now: number): void {
+  private sendWatch(sent: OutgoingWatch<PeerLocation>[], now: number): void {
     if (sent.length === 0) return;
     const revisions = this.loader.listRevisions();
     const own = this.standing.createReport(this.view.ownRecord, now);
--- a/packages/gateway/src/services/introduction.ts
+++ b/packages/gateway/src/services/introduction.ts
@@ -14,7 +14,7 @@
   type Logger,
 } from '@irisdock/kernel';
 import * as z from 'zod';
-import type {WatchedStore} from '../model/watched_table.js';
+import type {TableStore} from '../model/table_store.js';
 import {HOST_IDENTITY} from './identity.js';
 import type {Peers} from './peer_hosts.js';
 import {PEERS} from './peers.js';
@@ -40,7 +40,7 @@
   private readAt = -Infinity;
 
   constructor(
-    private readonly store: WatchedStore,
+    private readonly store: TableStore,
     private readonly peers: Peers,
     private readonly hostName: string,
     private readonly clock: Clock,
--- a/packages/gateway/src/services/limit_notices.ts
+++ b/packages/gateway/src/services/limit_notices.ts
@@ -3,7 +3,7 @@
  * tells the host that hands out the permits, and that one tells all: so each
  * change is told to all once, however many hosts see it.
  */
-import type {LimitsDatagram, ToldLimit} from '../model/limit_datagram.js';
+import type {LimitsDatagram, ReportedLimit} from '../model/limit_datagram.js';
 import {LaterSteps} from './later_steps.js';
 
 /**
@@ -21,7 +21,7 @@
   readonly ownName: string;
   readonly findIssuer: (instanceId: string) => string | undefined;
   /** Gives what is believed of an endpoint now. */
-  readonly createTold: (instanceId: string) => ToldLimit;
+  readonly createTold: (instanceId: string) => ReportedLimit;
   readonly sendToAll: (datagram: LimitsDatagram) => void;
   readonly sendTo: (host: string, datagram: LimitsDatagram) => void;
 }
@@ -53,7 +53,7 @@
 
   private sendAll(instanceIds: readonly string[]): void {
     const {ownName, findIssuer, createTold} = this.parts;
-    const forAll: ToldLimit[] = [];
+    const forAll: ReportedLimit[] = [];
     for (const instanceId of instanceIds) {
       const issuer = findIssuer(instanceId);
       const told = createTold(instanceId);
@@ -68,7 +68,7 @@
     }
   }
 
-  private createDatagram(limits: readonly ToldLimit[]): LimitsDatagram {
+  private createDatagram(limits: readonly ReportedLimit[]): LimitsDatagram {
     return {kind: 'limits', name: this.parts.ownName, limits};
   }
 }
--- a/packages/gateway/src/services/peer_boards.ts
+++ b/packages/gateway/src/services/peer_boards.ts
@@ -5,20 +5,20 @@
 import type {Crash} from '@irisdock/decisions';
 import type {
   LimitsDatagram,
-  PermitAnswerDatagram,
-  PermitAskDatagram,
+  PermitResponseDatagram,
+  PermitRequestDatagram,
 } from '../model/limit_datagram.js';
 import type {
-  ClearedDatagram,
+  ContentClearedDatagram,
   CrashesDatagram,
   GrantDatagram,
   RolloutPhaseDatagram,
   RolloutReportDatagram,
 } from '../model/peer_message.js';
 import type {
-  LeaseAnswerDatagram,
-  LeaseAskDatagram,
-  LeaseEndDatagram,
+  LeaseResponseDatagram,
+  LeaseRequestDatagram,
+  LeaseReleaseDatagram,
 } from '../model/run_lease_datagram.js';
 
 /** Takes what other hosts tell of roll-outs. */
@@ -38,20 +38,20 @@
   /** Takes it that a beat has begun. */
   startBeat(): void;
   acceptLimits(datagram: LimitsDatagram): void;
-  acceptAsk(datagram: PermitAskDatagram): void;
-  acceptAnswer(datagram: PermitAnswerDatagram): void;
+  acceptAsk(datagram: PermitRequestDatagram): void;
+  acceptAnswer(datagram: PermitResponseDatagram): void;
 }
 
 /** Takes what other hosts request and grant of leases on runs. */
 export interface LeaseBoard {
-  acceptLeaseAsk(datagram: LeaseAskDatagram): void;
-  acceptLeaseAnswer(datagram: LeaseAnswerDatagram): void;
-  acceptLeaseEnd(datagram: LeaseEndDatagram): void;
+  acceptLeaseAsk(datagram: LeaseRequestDatagram): void;
+  acceptLeaseAnswer(datagram: LeaseResponseDatagram): void;
+  acceptLeaseEnd(datagram: LeaseReleaseDatagram): void;
 }
 
 /** A datagram that goes to a board. */
 export type BoardDatagram =
-  | ClearedDatagram
+  | ContentClearedDatagram
   | CrashesDatagram
   | GrantDatagram
   | RolloutPhaseDatagram
--- a/packages/gateway/src/services/peer_hosts.ts
+++ b/packages/gateway/src/services/peer_hosts.ts
@@ -7,13 +7,13 @@
 import {getShuffled} from '@irisdock/kernel';
 import type {
   DatagramPort,
-  OpenDatagramPort,
+  DatagramPortFactory,
 } from '../channels/datagram_socket.js';
 import {FramedPort} from '../channels/framed_port.js';
 import {decodePeerDatagram, encodePeerDatagram} from '../model/peer_codec.js';
 import type {DropReason} from '../model/peer_frame.js';
-import type {PeerDatagram, PeerPlace} from '../model/peer_message.js';
-import {CopyChecks} from '../tables/copy_checks.js';
+import type {PeerDatagram, PeerLocation} from '../model/peer_message.js';
+import {FreshnessChecker} from '../tables/freshness_checker.js';
 import {EngineGroups} from './engine_groups.js';
 import {
   HostTracker,
@@ -22,10 +22,10 @@
   type PeerState,
 } from './host_tracker.js';
 import {PeerBoards} from './peer_boards.js';
-import {NewsSpreader} from '../tables/news_spreader.js';
+import {UpdateBroadcaster} from '../tables/update_broadcaster.js';
 import type {ShownHost} from './shown_hosts.js';
 import {SeedTries} from './seed_tries.js';
-import type {StoreStanding} from '../tables/store_standing.js';
+import type {StoreStatus} from '../tables/store_status.js';
 import {UseNotices, type SendToHosts, type UseBoard} from './use_notices.js';
 import {UseQuestions} from './use_questions.js';
 
@@ -36,7 +36,7 @@
   readonly seeds: readonly string[];
   /** The name of the deployment. */
   readonly deployment: string;
-  readonly openDatagrams: OpenDatagramPort;
+  readonly openDatagrams: DatagramPortFactory;
   /** Counts a datagram that was dropped. */
   readonly recordDrop: (reason: DropReason) => void;
 }
@@ -60,9 +60,9 @@
   readonly boards = new PeerBoards();
   private readonly tracker: HostTracker;
   private readonly socket: DatagramPort;
-  private readonly news: NewsSpreader;
+  private readonly news: UpdateBroadcaster;
   private readonly seeds: SeedTries;
-  private readonly checks: CopyChecks;
+  private readonly checks: FreshnessChecker;
 
   constructor(private readonly parts: PeersParts) {
     const {name, place, tables, random, log, clock} = parts;
@@ -73,7 +73,7 @@
     this.tracker = new HostTracker({...parts, hasSeeds}, send);
     const {view} = this.tracker;
     this.groups = new EngineGroups(name, place, view, random);
-    this.news = new NewsSpreader({
+    this.news = new UpdateBroadcaster({
       tables,
       loader: this.tracker.loader,
       targets: this.groups,
@@ -84,7 +84,7 @@
       send,
       log,
     });
-    this.checks = new CopyChecks({
+    this.checks = new FreshnessChecker({
       ...parts,
       standing: this.standing,
       countHosts: () => view.countKnown() + 1,
@@ -120,7 +120,7 @@
   }
 
   /** How this host and the others stand with the store. */
-  get standing(): StoreStanding {
+  get standing(): StoreStatus {
     return this.tracker.standing;
   }
 
@@ -130,7 +130,7 @@
   }
 
   /** Where this host can be reached. */
-  get place(): PeerPlace {
+  get place(): PeerLocation {
     return this.parts.place;
   }
 
@@ -153,7 +153,7 @@
   }
 
   /** Lists where callers may be sent, this host among them if it takes them. */
-  listServing(): PeerPlace[] {
+  listServing(): PeerLocation[] {
     const places = this.tracker.view.listServing().map(({place}) => place);
     if (this.tracker.getState() === 'ready') places.push(this.place);
     return places;
@@ -211,7 +211,7 @@
 
   /** Sends to hosts by name, as far as they are known. */
   sendToNames(names: readonly string[], datagram: PeerDatagram): void {
-    const hosts: KnownHost<PeerPlace>[] = [];
+    const hosts: KnownHost<PeerLocation>[] = [];
     for (const name of names) {
       const host = this.tracker.view.find(name);
       if (host !== undefined) hosts.push(host);
@@ -276,7 +276,7 @@
   }
 
   private sendTo(
-    hosts: readonly KnownHost<PeerPlace>[],
+    hosts: readonly KnownHost<PeerLocation>[],
     datagram: PeerDatagram,
   ): void {
     if (hosts.length === 0) return;
--- a/packages/gateway/src/services/peers.ts
+++ b/packages/gateway/src/services/peers.ts
@@ -9,7 +9,7 @@
 import * as z from 'zod';
 import {DatagramSocket} from '../channels/datagram_socket.js';
 import {PeerFrame} from '../model/peer_frame.js';
-import {PeerTableCaller} from '../tables/peer_table_source.js';
+import {HttpPeerTableSource} from '../tables/peer_table_source.js';
 import {HOST_IDENTITY} from './identity.js';
 import {Peers} from './peer_hosts.js';
 import {TABLES_KEY} from '../tables/tables.js';
@@ -106,7 +106,7 @@
         drops.inc({reason});
       },
       tables: context.find(TABLES_KEY),
-      tableSource: new PeerTableCaller(new PeerFrame(deployment).tag),
+      tableSource: new HttpPeerTableSource(new PeerFrame(deployment).tag),
       clock: context.clock,
       random: context.random,
       log: context.log,
--- a/packages/gateway/src/services/permit_grants.ts
+++ b/packages/gateway/src/services/permit_grants.ts
@@ -10,19 +10,19 @@
 } from '@irisdock/decisions';
 import type {Clock} from '@irisdock/kernel';
 import type {
-  PermitAnswerDatagram,
-  PermitAskDatagram,
-  ToldLimit,
+  PermitResponseDatagram,
+  PermitRequestDatagram,
+  ReportedLimit,
 } from '../model/limit_datagram.js';
 import type {KnownLimits} from './known_limits.js';
 
 /** A question without what only other hosts need to know. */
-export type PermitAsk = Omit<PermitAskDatagram, 'kind' | 'limit'>;
+export type PermitAsk = Omit<PermitRequestDatagram, 'kind' | 'limit'>;
 
 interface GivenAnswer {
   readonly incarnation: number;
   readonly at: number;
-  readonly answer: PermitAnswerDatagram;
+  readonly answer: PermitResponseDatagram;
 }
 
 /** What is kept of one endpoint. */
@@ -50,7 +50,7 @@
   ) {}
 
   /** Answers a question; the same one again gets the same answer. */
-  decide(instanceId: string, ask: PermitAsk): PermitAnswerDatagram {
+  decide(instanceId: string, ask: PermitAsk): PermitResponseDatagram {
     const now = this.clock.getNow();
     const perSecond = this.beliefs.findRate(instanceId);
     if (perSecond === undefined) {
@@ -84,7 +84,7 @@
   }
 
   /** Gives what is believed here of an endpoint's limit. */
-  createTold(instanceId: string): ToldLimit {
+  createTold(instanceId: string): ReportedLimit {
     const report = this.beliefs.findReport(instanceId);
     const now = this.clock.getNow();
     const ageMs = report === undefined ? 0 : Math.max(0, now - report.at);
@@ -100,7 +100,7 @@
     instanceId: string,
     {number}: PermitAsk,
     isIssuer: boolean,
-  ): PermitAnswerDatagram {
+  ): PermitResponseDatagram {
     return {
       kind: 'permit-answer',
       number,
--- a/packages/gateway/src/services/rollout_decider.ts
+++ b/packages/gateway/src/services/rollout_decider.ts
@@ -7,7 +7,7 @@
 import {decideNextPhase, type RolloutPhase} from '@irisdock/decisions';
 import type {Clock, Logger} from '@irisdock/kernel';
 import type {RolloutCodec, RolloutOutcome} from '../model/rollout_order.js';
-import type {WatchedStore} from '../model/watched_table.js';
+import type {TableStore} from '../model/table_store.js';
 import type {RolloutState} from '../serving/rollout_state.js';
 import type {Rollouts, RolloutsParts} from '../serving/rollouts.js';
 
@@ -15,7 +15,7 @@
 export interface RolloutDeciderParts {
   readonly rollouts: Rollouts;
   readonly bounds: RolloutsParts['bounds'];
-  readonly store: WatchedStore;
+  readonly store: TableStore;
   readonly codec: RolloutCodec;
   readonly clock: Clock;
   readonly log: Logger;
--- a/packages/gateway/src/services/rollouts.ts
+++ b/packages/gateway/src/services/rollouts.ts
@@ -90,7 +90,7 @@
       runner.handleRestored();
     });
     applyRows(table.replica.listAll());
-    void table.news.observe(applyRows);
+    void table.changes.observe(applyRows);
     createGauge(api, context.metrics);
     return {api, stop: () => runner.stop()};
   },
--- a/packages/gateway/src/services/run_lease_client.ts
+++ b/packages/gateway/src/services/run_lease_client.ts
@@ -4,10 +4,10 @@
  */
 import type {Clock} from '@irisdock/kernel';
 import type {
-  LeaseAnswerDatagram,
-  LeaseAskDatagram,
+  LeaseResponseDatagram,
+  LeaseRequestDatagram,
   LeasedRun,
-  LeaseEndDatagram,
+  LeaseReleaseDatagram,
 } from '../model/run_lease_datagram.js';
 import type {
   LeaseOutcome,
@@ -41,8 +41,8 @@
 /** Acquires leases. */
 export class RunLeaseClient implements RunLeases, LeaseBoard {
   private readonly questions: PeerQuestions<
-    LeaseAskDatagram,
-    LeaseAnswerDatagram
+    LeaseRequestDatagram,
+    LeaseResponseDatagram
   >;
   private lastRun = 0;
 
@@ -87,16 +87,16 @@
     this.parts.issuer.dropExpired();
   }
 
-  acceptLeaseAsk(ask: LeaseAskDatagram): void {
+  acceptLeaseAsk(ask: LeaseRequestDatagram): void {
     const answer = this.parts.issuer.decide(ask);
     this.parts.peers.sendToNames([ask.name], answer);
   }
 
-  acceptLeaseAnswer(answer: LeaseAnswerDatagram): void {
+  acceptLeaseAnswer(answer: LeaseResponseDatagram): void {
     this.questions.accept(answer);
   }
 
-  acceptLeaseEnd(end: LeaseEndDatagram): void {
+  acceptLeaseEnd(end: LeaseReleaseDatagram): void {
     this.parts.issuer.release(end);
   }
 
@@ -109,11 +109,11 @@
   private async poll(
     run: LeasedRun,
     isRenewal: boolean,
-  ): Promise<LeaseAnswerDatagram | undefined> {
+  ): Promise<LeaseResponseDatagram | undefined> {
     const {issuer, identity} = this.parts;
     const name = issuer.findIssuer(run.content);
     if (name === undefined) return undefined;
-    const createAsk = (number: number): LeaseAskDatagram => {
+    const createAsk = (number: number): LeaseRequestDatagram => {
       return {kind: 'lease-ask', ...run, number, isRenewal};
     };
     if (name === identity.name) return issuer.decide(createAsk(0));
--- a/packages/gateway/src/services/run_lease_issuer.ts
+++ b/packages/gateway/src/services/run_lease_issuer.ts
@@ -6,8 +6,8 @@
 import {RUN_LEASE_MS, RunLeaseTable, sortIssuers} from '@irisdock/decisions';
 import type {Clock} from '@irisdock/kernel';
 import type {
-  LeaseAnswerDatagram,
-  LeaseAskDatagram,
+  LeaseResponseDatagram,
+  LeaseRequestDatagram,
   LeasedRun,
 } from '../model/run_lease_datagram.js';
 import type {CrashRecords} from '../serving/crash_records.js';
@@ -39,7 +39,7 @@
   }
 
   /** Answers a request or a renewal. */
-  decide(ask: LeaseAskDatagram): LeaseAnswerDatagram {
+  decide(ask: LeaseRequestDatagram): LeaseResponseDatagram {
     const {crashes, clock} = this.parts;
     const {content, number, isRenewal} = ask;
     const now = clock.getNow();
--- a/packages/gateway/src/services/send_limits.ts
+++ b/packages/gateway/src/services/send_limits.ts
@@ -13,9 +13,9 @@
 import {getErrorText, type Clock, type Logger} from '@irisdock/kernel';
 import type {
   LimitsDatagram,
-  PermitAnswerDatagram,
-  PermitAskDatagram,
-  ToldLimit,
+  PermitResponseDatagram,
+  PermitRequestDatagram,
+  ReportedLimit,
 } from '../model/limit_datagram.js';
 import {
   SendPermit,
@@ -84,8 +84,8 @@
   private readonly issuers: PermitIssuers;
   private readonly grants: PermitGrants;
   private readonly questions: PeerQuestions<
-    PermitAskDatagram,
-    PermitAnswerDatagram
+    PermitRequestDatagram,
+    PermitResponseDatagram
   >;
   private readonly notices: LimitNotices;
   private readonly queues = new Map<string, PermitQueue>();
@@ -193,7 +193,7 @@
     }
   }
 
-  acceptAsk(ask: PermitAskDatagram): void {
+  acceptAsk(ask: PermitRequestDatagram): void {
     const {instanceId} = ask.limit;
     const outcome = this.acceptTold(ask.limit, ask.name);
     this.handleOutcome(instanceId, outcome, this.isIssuer(instanceId));
@@ -201,7 +201,7 @@
     this.parts.peers.sendToNames([ask.name], answer);
   }
 
-  acceptAnswer(answer: PermitAnswerDatagram): void {
+  acceptAnswer(answer: PermitResponseDatagram): void {
     this.questions.accept(answer);
   }
 
@@ -299,7 +299,7 @@
   }
 
   private acceptTold(
-    {instanceId, perSecond, ageMs}: ToldLimit,
+    {instanceId, perSecond, ageMs}: ReportedLimit,
     source: string,
   ): ReportOutcome {
     const at = this.parts.clock.getNow() - ageMs;
--- a/packages/gateway/src/services/store.ts
+++ b/packages/gateway/src/services/store.ts
@@ -5,20 +5,20 @@
 import {createServiceKey} from '@irisdock/kernel';
 import type {EndpointEntry} from '../model/endpoint_entry.js';
 import type {
-  CopyCodec,
+  KvCacheCopyCodec,
   EngineReportCodec,
   HeaderCodec,
-  KeptPromptCodec,
-} from '../model/request_terms.js';
+  PromptCacheCodec,
+} from '../model/request_metadata.js';
 import type {RolloutCodec} from '../model/rollout_order.js';
 import type {ServingConfiguration} from '../model/serving_configuration.js';
-import type {RowCodec, WatchedStore} from '../model/watched_table.js';
+import type {RowCodec, TableStore} from '../model/table_store.js';
 
 /** How an adapter reads what others write. */
 export interface Codecs {
   readonly headers: HeaderCodec;
-  readonly copies: CopyCodec;
-  readonly keptPrompts: KeptPromptCodec;
+  readonly copies: KvCacheCopyCodec;
+  readonly keptPrompts: PromptCacheCodec;
   readonly engineReports: EngineReportCodec;
   readonly configuration: RowCodec<ServingConfiguration>;
   readonly endpoints: RowCodec<EndpointEntry>;
@@ -35,6 +35,6 @@
 }
 
 /** The key of the store. */
-export const STORE = createServiceKey<WatchedStore>('store');
+export const STORE = createServiceKey<TableStore>('store');
 /** The key of the codecs. */
 export const CODECS = createServiceKey<Codecs>('codecs');
--- a/packages/gateway/src/services/use_notices.ts
+++ b/packages/gateway/src/services/use_notices.ts
@@ -7,23 +7,23 @@
 import type {HostView, KnownHost} from '@irisdock/decisions';
 import type {Clock} from '@irisdock/kernel';
 import type {
-  LossDatagram,
+  EndpointUnreachableDatagram,
   PeerDatagram,
-  PeerPlace,
-  PeerUse,
-  ToldUse,
-  UsesDatagram,
+  PeerLocation,
+  PeerUsage,
+  EndpointUsageReport,
+  UsageDatagram,
 } from '../model/peer_message.js';
 import type {EngineGroups, EngineList} from './engine_groups.js';
 
 /** What a host has running, by the instance id of the endpoint. */
-export type HostUses = Readonly<Record<string, PeerUse>>;
+export type HostUses = Readonly<Record<string, PeerUsage>>;
 
 /** Tells what runs here, and takes what runs elsewhere. */
 export interface UseBoard extends EngineList {
   listOwnUses(): HostUses;
   /** Finds what runs on an engine but for what one host has there. */
-  findUseBut(instanceId: string, host: string): ToldUse | undefined;
+  findUseBut(instanceId: string, host: string): EndpointUsageReport | undefined;
   applyUses(host: string, uses: HostUses): void;
   /** Takes it that an engine took no connection of another host. */
   applyLoss(instanceId: string): void;
@@ -31,7 +31,7 @@
 
 /** Sends a datagram to hosts. */
 export type SendToHosts = (
-  hosts: readonly KnownHost<PeerPlace>[],
+  hosts: readonly KnownHost<PeerLocation>[],
   datagram: PeerDatagram,
 ) => void;
 
@@ -70,7 +70,7 @@
 
   constructor(
     private readonly owner: UseNoticesOwner,
-    private readonly view: HostView<PeerPlace>,
+    private readonly view: HostView<PeerLocation>,
     private readonly groups: EngineGroups,
     private readonly send: SendToHosts,
   ) {}
@@ -99,7 +99,7 @@
   }
 
   /** Takes it that an engine took no connection of another host. */
-  acceptLoss({instanceId}: LossDatagram): void {
+  acceptLoss({instanceId}: EndpointUnreachableDatagram): void {
     this.board?.applyLoss(instanceId);
   }
 
@@ -111,7 +111,7 @@
   }
 
   /** Takes what another host has running. */
-  accept({name, incarnation, sequence, uses}: UsesDatagram): void {
+  accept({name, incarnation, sequence, uses}: UsageDatagram): void {
     const [life, last] = this.sequences.get(name) ?? [0, 0];
     if (incarnation === life && sequence <= last) return;
     this.sequences.set(name, [incarnation, sequence]);
@@ -151,7 +151,9 @@
   }
 
   /** Lists the own group, and the homes of engines that it is not home of. */
-  private listTargets(instanceIds: Iterable<string>): KnownHost<PeerPlace>[] {
+  private listTargets(
+    instanceIds: Iterable<string>,
+  ): KnownHost<PeerLocation>[] {
     const hosts = new Set(this.groups.listGroup());
     for (const instanceId of instanceIds) {
       if (this.groups.isHome(instanceId)) continue;
--- a/packages/gateway/src/services/use_questions.ts
+++ b/packages/gateway/src/services/use_questions.ts
@@ -6,11 +6,11 @@
 import type {HostView} from '@irisdock/decisions';
 import {getShuffled, type Clock, type Random} from '@irisdock/kernel';
 import type {
-  AnswerDatagram,
+  UsageReplyDatagram,
   PeerDatagram,
-  PeerPlace,
-  QuestionDatagram,
-  ToldUse,
+  PeerLocation,
+  UsageQueryDatagram,
+  EndpointUsageReport,
 } from '../model/peer_message.js';
 import type {EngineGroups} from './engine_groups.js';
 import type {SendToHosts, UseBoard} from './use_notices.js';
@@ -23,7 +23,7 @@
 const ANSWER_MS = 30;
 
 interface OpenQuestion {
-  readonly handleAnswer: (told: readonly ToldUse[]) => void;
+  readonly handleAnswer: (told: readonly EndpointUsageReport[]) => void;
 }
 
 /** Asks and answers. */
@@ -35,7 +35,7 @@
 
   constructor(
     private readonly ownName: string,
-    private readonly view: HostView<PeerPlace>,
+    private readonly view: HostView<PeerLocation>,
     private readonly groups: EngineGroups,
     private readonly clock: Clock,
     private readonly random: Random,
@@ -43,7 +43,7 @@
   ) {}
 
   /** Asks what runs on engines; what is not answered in time is left out. */
-  async poll(instanceIds: readonly string[]): Promise<ToldUse[]> {
+  async poll(instanceIds: readonly string[]): Promise<EndpointUsageReport[]> {
     const answers = await Promise.all(
       instanceIds.map((instanceId) => this.pollOne(instanceId)),
     );
@@ -51,11 +51,11 @@
   }
 
   /** Answers another host. */
-  acceptQuestion(question: QuestionDatagram): void {
+  acceptQuestion(question: UsageQueryDatagram): void {
     const asker = this.view.find(question.name);
     const {board} = this;
     if (asker === undefined || board === undefined) return;
-    const uses: ToldUse[] = [];
+    const uses: EndpointUsageReport[] = [];
     for (const instanceId of question.instanceIds) {
       const told = board.findUseBut(instanceId, question.name);
       if (told !== undefined) uses.push(told);
@@ -65,11 +65,13 @@
   }
 
   /** Takes the answer of another host. */
-  acceptAnswer({number, uses}: AnswerDatagram): void {
+  acceptAnswer({number, uses}: UsageReplyDatagram): void {
     this.open.get(number)?.handleAnswer(uses);
   }
 
-  private async pollOne(instanceId: string): Promise<ToldUse | undefined> {
+  private async pollOne(
+    instanceId: string,
+  ): Promise<EndpointUsageReport | undefined> {
     const homes = this.groups.listHomeHosts(instanceId);
     const [host] = getShuffled(homes, this.random);
     if (host === undefined) return undefined;
@@ -82,7 +84,7 @@
       instanceIds: [instanceId],
     };
     const limit = new AbortController();
-    let told: ToldUse | undefined;
+    let told: EndpointUsageReport | undefined;
     this.open.set(number, {
       handleAnswer: (uses) => {
         told = uses.find((one) => one.instanceId === instanceId);
--- a/packages/gateway/src/serving/answer_body.ts
+++ b/packages/gateway/src/serving/answer_body.ts
@@ -1,12 +1,12 @@
 /** Reads the whole body of an answer. */
-import type {EndpointAnswer} from '../channels/endpoint_client.js';
+import type {EndpointResponse} from '../channels/endpoint_client.js';
 
 /** Bodies that are longer count as cut; callers never need such ones. */
 const MAX_BODY_BYTES = 8_388_608;
 
 /** Gives the body; undefined when it was cut short or is too long. */
 export async function readAnswerBody(
-  answer: EndpointAnswer,
+  answer: EndpointResponse,
 ): Promise<Buffer | undefined> {
   const {message} = answer;
   const parts: Buffer[] = [];
@@ -18,7 +18,7 @@
       else resolve(undefined);
     });
     message.once('end', () => {
-      resolve(answer.isWhole() ? Buffer.concat(parts) : undefined);
+      resolve(answer.isComplete() ? Buffer.concat(parts) : undefined);
     });
     message.once('error', () => {
       resolve(undefined);
--- a/packages/gateway/src/serving/answer_reading.ts
+++ b/packages/gateway/src/serving/answer_reading.ts
@@ -1,7 +1,7 @@
 /** What an answer that is no event stream says of its request. */
 import {
   MISDIRECTED_STATUS,
-  type EndpointAnswer,
+  type EndpointResponse,
 } from '../channels/endpoint_client.js';
 import type {GatewayEndpoints} from '../services/gateway_endpoints.js';
 import {readAnswerBody} from './answer_body.js';
@@ -24,9 +24,9 @@
 export async function readPlainAnswer(
   endpoints: GatewayEndpoints,
   endpoint: EndpointRecord,
-  answer: EndpointAnswer,
+  answer: EndpointResponse,
 ): Promise<AnswerReading> {
-  const {status, terms, lines, isFramed} = answer;
+  const {status, metadata: terms, lines, isFramed} = answer;
   const body = await readAnswerBody(answer);
   if (status === MISDIRECTED_STATUS) {
     endpoints.reportReplaced(endpoint, terms.endpointId);
--- a/packages/gateway/src/serving/call_driver.ts
+++ b/packages/gateway/src/serving/call_driver.ts
@@ -4,8 +4,11 @@
  */
 import {choosePlainEndpoint} from '@irisdock/decisions';
 import type {KnownError} from '@irisdock/kernel';
-import {FAILED_STATUS, findAnswerFault} from '../channels/answer_check.js';
-import type {EndpointAnswer} from '../channels/endpoint_client.js';
+import {
+  MIN_SERVER_ERROR_STATUS,
+  findResponseFault,
+} from '../channels/response_check.js';
+import type {EndpointResponse} from '../channels/endpoint_client.js';
 import {GATEWAY_ERRORS} from '../errors.js';
 import type {ServingRoute} from '../model/serving_configuration.js';
 import {readPlainAnswer, type AnswerReading} from './answer_reading.js';
@@ -128,13 +131,13 @@
         requestId,
         method: exchange.method,
         path: exchange.path,
-        lines: this.parts.codec.encodeSend(exchange.lines, {
+        lines: this.parts.codec.encodeRequest(exchange.lines, {
           endpointId: endpoint.endpointId,
           team,
           remainingMs: computeRemainingMs(this.request, this.route, sentAt),
           lastEventId: terms.lastEventId,
           backupAddress: undefined,
-          memorySource: undefined,
+          kvCacheSource: undefined,
         }),
         body,
         signal: exchange.signal,
@@ -154,15 +157,17 @@
 
   private async readAnswer(
     endpoint: EndpointRecord,
-    answer: EndpointAnswer,
+    answer: EndpointResponse,
     requestId: string,
   ): Promise<AnswerReading> {
-    const fault = findAnswerFault(answer, requestId);
+    const fault = findResponseFault(answer, requestId);
     if (fault !== undefined) {
       answer.close();
       return {kind: 'lost', mayHaveRun: true, detail: fault};
     }
-    if (answer.terms.load !== undefined) endpoint.recordLoad(answer.terms.load);
+    if (answer.metadata.load !== undefined) {
+      endpoint.recordLoad(answer.metadata.load);
+    }
     return readPlainAnswer(this.parts.endpoints, endpoint, answer);
   }
 
@@ -172,7 +177,7 @@
     ms: number,
   ): void {
     if (result.kind !== 'whole') return;
-    const isFailed = result.answer.status >= FAILED_STATUS;
+    const isFailed = result.answer.status >= MIN_SERVER_ERROR_STATUS;
     const {name: route} = this.route;
     this.parts.rollouts.recordAnswer(endpoint, {route, isFailed, ms});
   }
@@ -185,7 +190,7 @@
       this.runs++;
       this.mayHaveRun = true;
       this.last = result.answer;
-      if (result.answer.status >= FAILED_STATUS) {
+      if (result.answer.status >= MIN_SERVER_ERROR_STATUS) {
         endpoint.recordFailure(FAILURE_WEIGHTS.failed);
       }
       return;
@@ -222,7 +227,7 @@
     const {crashes, lostRuns} = this.parts;
     const {requestId, content, exchange} = this.request;
     if (result.kind === 'whole') {
-      if (result.answer.status < FAILED_STATUS) {
+      if (result.answer.status < MIN_SERVER_ERROR_STATUS) {
         crashes.recordEndedWell(content);
       }
       return;
@@ -243,7 +248,7 @@
     const {route} = this;
     if (this.notRun > MAX_NOT_RUN) return false;
     const isWhole = result.kind === 'whole';
-    if (isWhole && result.answer.status < FAILED_STATUS) return false;
+    if (isWhole && result.answer.status < MIN_SERVER_ERROR_STATUS) return false;
     const hasRun = isWhole || (result.kind === 'lost' && result.mayHaveRun);
     if (hasRun && route.kind === 'once') return false;
     if (this.isRefused) return false;
@@ -273,7 +278,7 @@
     }
     if ('body' in last) {
       exchange.sendAnswer(last);
-      return last.status >= FAILED_STATUS ? 'failed' : 'answered';
+      return last.status >= MIN_SERVER_ERROR_STATUS ? 'failed' : 'answered';
     }
     exchange.refuse(last, false);
     this.recordRefusal(last);
--- a/packages/gateway/src/serving/caller_exchange.ts
+++ b/packages/gateway/src/serving/caller_exchange.ts
@@ -5,7 +5,7 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {KnownError} from '@irisdock/kernel';
 import {formatRawHeaders, readHeaderLines} from '../channels/header_lines.js';
-import type {HeaderLines, RequestTerms} from '../model/request_terms.js';
+import type {HeaderLines, RequestMetadata} from '../model/request_metadata.js';
 
 /** The header that says what is known of a request that was not answered. */
 const OUTCOME_HEADER = 'X-Irisdock-Outcome';
@@ -199,7 +199,7 @@
 export interface AdmittedRequest {
   readonly exchange: CallerExchange;
   readonly requestId: string;
-  readonly terms: RequestTerms;
+  readonly terms: RequestMetadata;
   readonly team: string | undefined;
   readonly body: Buffer;
   /** The name of its content, the same for each try of its caller. */
--- a/packages/gateway/src/serving/copy_keeper.ts
+++ b/packages/gateway/src/serving/copy_keeper.ts
@@ -5,7 +5,7 @@
  * another one by request, and again every while for what is new.
  */
 import {chooseBackup, type EngineRequest} from '@irisdock/decisions';
-import type {EngineCall, MemorySource} from '../model/request_terms.js';
+import type {EngineCall, KvCacheSource} from '../model/request_metadata.js';
 import type {EndpointRecord} from './endpoint_record.js';
 import type {EngineAnswer} from './engine_caller.js';
 import {listLive} from './live_endpoints.js';
@@ -13,7 +13,7 @@
 
 /** Where a copy is kept, and the name under which it is found there. */
 export interface KeptCopy {
-  readonly source: MemorySource;
+  readonly source: KvCacheSource;
   readonly holder: EndpointRecord;
 }
 
--- a/packages/gateway/src/serving/endpoint_record.ts
+++ b/packages/gateway/src/serving/endpoint_record.ts
@@ -4,7 +4,7 @@
  */
 import type {EngineView, PlainView} from '@irisdock/decisions';
 import type {EndpointEntry} from '../model/endpoint_entry.js';
-import type {ToldLoad} from '../model/request_terms.js';
+import type {ReportedLoad} from '../model/request_metadata.js';
 
 /** What one host has at an endpoint. */
 export interface EndpointUse {
@@ -83,7 +83,7 @@
   private failedAt = 0;
   private usualAnswerMs = FIRST_ANSWER_MS;
   private gapMs = 0;
-  private toldLoad: ToldLoad | undefined;
+  private toldLoad: ReportedLoad | undefined;
   private toldAt = -Infinity;
 
   constructor(
@@ -230,7 +230,7 @@
   }
 
   /** Takes the load that the endpoint told. */
-  recordLoad(load: ToldLoad): void {
+  recordLoad(load: ReportedLoad): void {
     this.toldLoad = load;
     this.toldAt = this.getNow();
   }
--- a/packages/gateway/src/serving/engine_caller.ts
+++ b/packages/gateway/src/serving/engine_caller.ts
@@ -3,7 +3,7 @@
  * within a bound of time.
  */
 import type {EndpointClient} from '../channels/endpoint_client.js';
-import type {EngineCall} from '../model/request_terms.js';
+import type {EngineCall} from '../model/request_metadata.js';
 import type {SendTarget} from './send_gate.js';
 import {readAnswerBody} from './answer_body.js';
 
--- a/packages/gateway/src/serving/kept_prompts.ts
+++ b/packages/gateway/src/serving/kept_prompts.ts
@@ -12,7 +12,7 @@
   type PromptPartView,
 } from '@irisdock/decisions';
 import type {Clock, Logger} from '@irisdock/kernel';
-import type {KeptPromptCodec} from '../model/request_terms.js';
+import type {PromptCacheCodec} from '../model/request_metadata.js';
 import type {EndpointRecord} from './endpoint_record.js';
 import type {EngineCaller} from './engine_caller.js';
 
@@ -42,7 +42,7 @@
 
   constructor(
     private readonly engines: EngineCaller,
-    private readonly codec: KeptPromptCodec,
+    private readonly codec: PromptCacheCodec,
     private readonly ownDomain: string,
     private readonly clock: Clock,
     private readonly log: Logger,
@@ -89,12 +89,12 @@
   private async pollOnce(
     engine: EndpointRecord,
   ): Promise<KeptParts | undefined> {
-    const call = this.codec.encodeListKept();
+    const call = this.codec.encodeListCached();
     const answer = await this.engines.send(engine, call, ANSWER_MS);
     const parts =
       answer === undefined
         ? undefined
-        : this.codec.decodeListKept(answer.status, answer.body);
+        : this.codec.decodeListCached(answer.status, answer.body);
     if (parts === undefined) {
       this.log.writeDebug('An engine did not tell which prompts it keeps.', {
         endpoint: engine.instanceId,
--- a/packages/gateway/src/serving/serving_parts.ts
+++ b/packages/gateway/src/serving/serving_parts.ts
@@ -1,7 +1,7 @@
 /** What the drivers of requests work with. */
 import type {Clock, Logger, Random} from '@irisdock/kernel';
 import type {EndpointClient} from '../channels/endpoint_client.js';
-import type {CopyCodec, HeaderCodec} from '../model/request_terms.js';
+import type {KvCacheCopyCodec, HeaderCodec} from '../model/request_metadata.js';
 import type {GatewayConfiguration} from '../services/configuration.js';
 import type {GatewayEndpoints} from '../services/gateway_endpoints.js';
 import type {CrashRecords} from './crash_records.js';
@@ -21,7 +21,7 @@
   readonly random: Random;
   readonly log: Logger;
   readonly codec: HeaderCodec;
-  readonly copies: CopyCodec;
+  readonly copies: KvCacheCopyCodec;
   readonly client: EndpointClient;
   readonly engines: EngineCaller;
   readonly successors: SuccessorFinder;
--- a/packages/gateway/src/serving/stream_attempt.ts
+++ b/packages/gateway/src/serving/stream_attempt.ts
@@ -4,12 +4,12 @@
  */
 import type {IncomingMessage} from 'node:http';
 import {EventSplitter, type WholeEvent} from '@irisdock/decisions';
-import {findAnswerFault} from '../channels/answer_check.js';
+import {findResponseFault} from '../channels/response_check.js';
 import type {
-  EndpointAnswer,
-  EndpointSend,
+  EndpointResponse,
+  EndpointRequest,
 } from '../channels/endpoint_client.js';
-import type {HeaderLines, MemorySource} from '../model/request_terms.js';
+import type {HeaderLines, KvCacheSource} from '../model/request_metadata.js';
 import {readPlainAnswer} from './answer_reading.js';
 import type {PlainAnswer} from './caller_exchange.js';
 import type {EndpointProber} from './endpoint_prober.js';
@@ -21,11 +21,11 @@
 export interface AttemptPlan {
   readonly endpoint: EndpointRecord;
   readonly backup: EndpointRecord | undefined;
-  readonly memorySource: MemorySource | undefined;
+  readonly memorySource: KvCacheSource | undefined;
 }
 
 /** What an attempt sends. */
-export interface AttemptSend extends Omit<EndpointSend, 'signal'> {
+export interface AttemptSend extends Omit<EndpointRequest, 'signal'> {
   readonly requestId: string;
 }
 
@@ -106,11 +106,11 @@
   }
 
   private async readAnswer(
-    answer: EndpointAnswer,
+    answer: EndpointResponse,
     requestId: string,
   ): Promise<AttemptResult> {
-    const {status, terms, lines} = answer;
-    const fault = findAnswerFault(answer, requestId);
+    const {status, metadata: terms, lines} = answer;
+    const fault = findResponseFault(answer, requestId);
     if (fault !== undefined) {
       answer.close();
       return {kind: 'lost', mayHaveRun: true, detail: fault};
@@ -125,11 +125,11 @@
     return this.readEvents(answer);
   }
 
-  private async readFailure(answer: EndpointAnswer): Promise<AttemptResult> {
+  private async readFailure(answer: EndpointResponse): Promise<AttemptResult> {
     const {endpoint} = this.plan;
     const {endpoints, successors} = this.parts;
     const reading = await readPlainAnswer(endpoints, endpoint, answer);
-    const {endpointId = endpoint.endpointId} = answer.terms;
+    const {endpointId = endpoint.endpointId} = answer.metadata;
     const isOther = endpointId !== endpoint.endpointId;
     if (reading.kind === 'refused' && isOther) {
       await successors.accept(endpoint, endpointId);
@@ -138,7 +138,7 @@
     return {kind: 'failed', answer: reading.answer};
   }
 
-  private async readEvents(answer: EndpointAnswer): Promise<AttemptResult> {
+  private async readEvents(answer: EndpointResponse): Promise<AttemptResult> {
     const splitter = new EventSplitter();
     await this.passEvents(answer.message, splitter);
     if (this.stop.aborted) {
@@ -147,7 +147,7 @@
     }
     // The end of a stream without chunks may be a crash of its engine.
     const isLost = this.lostDetail !== undefined || !answer.isFramed;
-    if (isLost || !answer.isWhole() || splitter.pendingBytes > 0) {
+    if (isLost || !answer.isComplete() || splitter.pendingBytes > 0) {
       answer.close();
       const detail = this.lostDetail ?? 'its stream was cut';
       return {kind: 'lost', mayHaveRun: true, detail};
--- a/packages/gateway/src/serving/stream_driver.ts
+++ b/packages/gateway/src/serving/stream_driver.ts
@@ -8,7 +8,7 @@
 import {EventProgress, type WholeEvent} from '@irisdock/decisions';
 import type {KnownError, LogFields} from '@irisdock/kernel';
 import {GATEWAY_ERRORS} from '../errors.js';
-import type {HeaderLines} from '../model/request_terms.js';
+import type {HeaderLines} from '../model/request_metadata.js';
 import type {ServingRoute} from '../model/serving_configuration.js';
 import type {AdmittedRequest, PlainAnswer} from './caller_exchange.js';
 import {CopyKeeper} from './copy_keeper.js';
@@ -183,13 +183,13 @@
     this.report.recordSend(plan, this.progress.lastEventId, keptTokens);
     let isCopyNeeded = true;
     try {
-      const lines = this.parts.codec.encodeSend(exchange.lines, {
+      const lines = this.parts.codec.encodeRequest(exchange.lines, {
         endpointId: endpoint.endpointId,
         team,
         remainingMs: computeRemainingMs(this.request, this.route, now),
         lastEventId: this.progress.lastEventId,
         backupAddress: backup?.address,
-        memorySource,
+        kvCacheSource: memorySource,
       });
       const {method, path} = exchange;
       const send = {permit, requestId, method, path, lines, body};
--- a/packages/gateway/src/serving/stream_planner.ts
+++ b/packages/gateway/src/serving/stream_planner.ts
@@ -11,7 +11,7 @@
   type EngineRequest,
 } from '@irisdock/decisions';
 import {getSample} from '@irisdock/kernel';
-import type {RequestTerms} from '../model/request_terms.js';
+import type {RequestMetadata} from '../model/request_metadata.js';
 import type {AdmittedRequest} from './caller_exchange.js';
 import type {KeptCopy} from './copy_keeper.js';
 import type {EndpointRecord} from './endpoint_record.js';
@@ -39,7 +39,7 @@
   private known: readonly EndpointRecord[] | undefined;
   private trial: readonly EndpointRecord[] | undefined;
   private keptTokens: ReadonlyMap<string, number> = new Map();
-  private readonly terms: RequestTerms;
+  private readonly terms: RequestMetadata;
   private readonly content: string;
 
   constructor(
@@ -58,7 +58,11 @@
 
   /** Tokens that the stream will probably take in memory. */
   get expectedTokens(): number {
-    const {promptTokens, maxOutputTokens, guessedOutputTokens} = this.terms;
+    const {
+      promptTokens,
+      maxOutputTokens,
+      estimatedOutputTokens: guessedOutputTokens,
+    } = this.terms;
     const guess = guessedOutputTokens ?? maxOutputTokens * EXPECTED_OUTPUT_PART;
     return promptTokens + guess;
   }
--- a/packages/gateway/src/serving/stream_repeats.ts
+++ b/packages/gateway/src/serving/stream_repeats.ts
@@ -3,7 +3,7 @@
  * far: as often as its route allows, within the service's budget of repeats, and
  * never once its content is known to end the engines that run it.
  */
-import {FAILED_STATUS} from '../channels/answer_check.js';
+import {MIN_SERVER_ERROR_STATUS} from '../channels/response_check.js';
 import type {ServingRoute} from '../model/serving_configuration.js';
 import type {AdmittedRequest} from './caller_exchange.js';
 import {computeRemainingMs} from './send_rules.js';
@@ -62,7 +62,10 @@
     const {route, request, parts} = this;
     if (!route.isResumable && this.mayHaveRun) return 'not_resumable';
     if (this.isRefused) return 'content_refused';
-    if (result.kind === 'failed' && result.answer.status < FAILED_STATUS) {
+    if (
+      result.kind === 'failed' &&
+      result.answer.status < MIN_SERVER_ERROR_STATUS
+    ) {
       return 'answered';
     }
     if (this.runs >= route.maxAttempts) return 'attempts_spent';
--- a/packages/gateway/src/serving/successors.ts
+++ b/packages/gateway/src/serving/successors.ts
@@ -9,7 +9,7 @@
  * and up to 11 streams met at the others (by the logs of one day).
  */
 import type {Logger} from '@irisdock/kernel';
-import type {EngineReportCodec} from '../model/request_terms.js';
+import type {EngineReportCodec} from '../model/request_metadata.js';
 import type {GatewayConfiguration} from '../services/configuration.js';
 import type {GatewayEndpoints} from '../services/gateway_endpoints.js';
 import type {EndpointRecord} from './endpoint_record.js';
--- a/packages/gateway/src/settings_watch.ts
+++ b/packages/gateway/src/settings_file_watcher.ts
@@ -16,7 +16,7 @@
 const LOOK_MS = 2000;
 
 /** Watches the settings file. */
-export class SettingsWatch {
+export class SettingsFileWatcher {
   private seenChange: number | undefined;
 
   /**
--- a/packages/gateway/src/tables/copy_checks.ts
+++ b/packages/gateway/src/tables/freshness_checker.ts
@@ -5,21 +5,21 @@
  */
 import {CopyCheck} from '@irisdock/decisions';
 import type {Clock, Logger, Random} from '@irisdock/kernel';
-import {FOLLOWED_TABLES, type FollowedTable} from '../model/watched_table.js';
-import type {StoreStanding} from './store_standing.js';
-import type {StoreNews} from './store_news.js';
+import {REPLICATED_TABLES, type ReplicatedTable} from '../model/table_store.js';
+import type {StoreStatus} from './store_status.js';
+import type {StoreUpdate} from './store_update.js';
 import type {Tables} from './tables.js';
 
 /** What the checks need of the rest. */
-export interface CopyChecksParts {
+export interface FreshnessCheckerParts {
   readonly tables: Tables;
-  readonly standing: StoreStanding;
+  readonly standing: StoreStatus;
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Logger;
   /** Gives the number of hosts that may check at the same time. */
   countHosts(): number;
-  publish(table: FollowedTable, news: StoreNews): void;
+  publish(table: ReplicatedTable, news: StoreUpdate): void;
 }
 
 /** A copy is looked at again after so long at least, in ms. */
@@ -28,24 +28,24 @@
 const LOADING_LOOK_MS = 200;
 
 /** Checks the copies. */
-export class CopyChecks {
+export class FreshnessChecker {
   private readonly closing = new AbortController();
   /** One for all tables: a store that fails for one is not asked for the next. */
   private readonly check: CopyCheck;
 
-  constructor(private readonly parts: CopyChecksParts) {
+  constructor(private readonly parts: FreshnessCheckerParts) {
     this.check = new CopyCheck(parts.random);
   }
 
   start(): void {
-    for (const table of FOLLOWED_TABLES) void this.run(table);
+    for (const table of REPLICATED_TABLES) void this.run(table);
   }
 
   close(): void {
     this.closing.abort();
   }
 
-  private async run(table: FollowedTable): Promise<void> {
+  private async run(table: ReplicatedTable): Promise<void> {
     const {signal} = this.closing;
     while (!signal.aborted) {
       const delayMs = this.getDelayMs(table);
@@ -58,7 +58,7 @@
     }
   }
 
-  private getDelayMs(table: FollowedTable): number {
+  private getDelayMs(table: ReplicatedTable): number {
     const {clock, tables, standing} = this.parts;
     const {maxAgeMs, replica} = tables[table];
     if (!replica.isLoaded) return LOADING_LOOK_MS;
@@ -68,7 +68,7 @@
     return this.check.getDelayMs(ageMs, maxAgeMs, hosts, now);
   }
 
-  private async checkCopy(table: FollowedTable): Promise<void> {
+  private async checkCopy(table: ReplicatedTable): Promise<void> {
     const {clock, tables, standing, log} = this.parts;
     const ageMs = Math.round(standing.getAgeMs(table, clock.getNow()));
     const news = await tables[table].pollStore();
--- a/packages/gateway/src/tables/peer_table_loader.ts
+++ b/packages/gateway/src/tables/peer_table_loader.ts
@@ -11,9 +11,9 @@
 } from '@irisdock/decisions';
 import type {Clock, Logger} from '@irisdock/kernel';
 import type {PeerTableSource} from './peer_table_source.js';
-import type {PeerPlace, TableRevisions} from '../model/peer_message.js';
+import type {PeerLocation, TableRevisions} from '../model/peer_message.js';
 import {decodeTableRows} from '../model/peer_tables_message.js';
-import {FOLLOWED_TABLES, type FollowedTable} from '../model/watched_table.js';
+import {REPLICATED_TABLES, type ReplicatedTable} from '../model/table_store.js';
 import type {Tables} from './tables.js';
 
 /** How long a change may take to arrive by itself before a host is asked, in ms. */
@@ -38,7 +38,7 @@
 
 /** Loads from other hosts. */
 export class PeerTableLoader {
-  private readonly pulls: Readonly<Record<FollowedTable, TablePull>> = {
+  private readonly pulls: Readonly<Record<ReplicatedTable, TablePull>> = {
     configuration: createPull(),
     endpoints: createPull(),
     crashes: createPull(),
@@ -50,7 +50,7 @@
     private readonly clock: Clock,
     private readonly log: Logger,
     private readonly acceptHosts: (
-      changes: readonly HostChange<PeerPlace>[],
+      changes: readonly HostChange<PeerLocation>[],
     ) => void,
   ) {}
 
@@ -69,15 +69,15 @@
   }
 
   /** Takes which changes the host at an address knows. */
-  markRevisions(told: TableRevisions, address: string, now: number): void {
-    for (const table of FOLLOWED_TABLES) {
+  recordRevisions(told: TableRevisions, address: string, now: number): void {
+    for (const table of REPLICATED_TABLES) {
       this.markNewer(table, told[table], address, now);
     }
   }
 
   /** Asks hosts that have had a newer change for a while. */
   loadNewer(now: number): void {
-    for (const table of FOLLOWED_TABLES) {
+    for (const table of REPLICATED_TABLES) {
       const {behindSince = now} = this.pulls[table];
       const {isLoaded} = this.tables[table].replica;
       const waits = isLoaded && now - behindSince < OWN_CHANCE_MS;
@@ -90,7 +90,7 @@
    * it is there, or nobody is left to ask.
    */
   async loadChange(
-    table: FollowedTable,
+    table: ReplicatedTable,
     revision: number,
     address: string,
   ): Promise<void> {
@@ -100,11 +100,11 @@
 
   /** Asks the host at an address for all that it knows, hosts included. */
   async loadAll(address: string): Promise<void> {
-    await this.loadFrom(address, FOLLOWED_TABLES, true);
+    await this.loadFrom(address, REPLICATED_TABLES, true);
   }
 
   private markNewer(
-    table: FollowedTable,
+    table: ReplicatedTable,
     revision: number,
     address: string,
     now: number,
@@ -124,7 +124,7 @@
     });
   }
 
-  private async loadTable(table: FollowedTable): Promise<void> {
+  private async loadTable(table: ReplicatedTable): Promise<void> {
     const pull = this.pulls[table];
     pull.running ??= this.trySources(table, pull).finally(() => {
       pull.running = undefined;
@@ -133,7 +133,7 @@
   }
 
   private async trySources(
-    table: FollowedTable,
+    table: ReplicatedTable,
     pull: TablePull,
   ): Promise<void> {
     const {replica} = this.tables[table];
@@ -153,7 +153,7 @@
    * any more: else the word of a lost host hides who has the change.
    */
   private async trySource(
-    table: FollowedTable,
+    table: ReplicatedTable,
     {sources, asked}: TablePull,
     address: string,
   ): Promise<void> {
@@ -166,12 +166,12 @@
 
   private async loadFrom(
     address: string,
-    wanted: readonly FollowedTable[],
+    wanted: readonly ReplicatedTable[],
     withHosts: boolean,
   ): Promise<void> {
     const {tables, log, clock} = this;
     const startedAt = clock.getNow();
-    const after: Partial<Record<FollowedTable, number>> = {};
+    const after: Partial<Record<ReplicatedTable, number>> = {};
     for (const table of wanted) {
       after[table] = getLoadAfter(tables[table].replica);
     }
@@ -191,11 +191,11 @@
       follower.applyFromHost(rows, part.revision, part.isWhole);
       // As of the question: the answer may have been long under way.
       const ageMs = clock.getNow() - startedAt + part.ageMs;
-      follower.applyWord({
+      follower.applyFreshness({
         newest: follower.replica.lastChange,
         revision: part.revision,
         ageMs,
-        isTurn: false,
+        isScheduledPoll: false,
       });
     }
     this.acceptHosts(hosts.map((host) => ({...host, isSuspected: false})));
--- a/packages/gateway/src/tables/peer_table_source.ts
+++ b/packages/gateway/src/tables/peer_table_source.ts
@@ -7,13 +7,13 @@
   PEER_TABLES_ANSWER_SCHEMA,
   type PeerTables,
 } from '../model/peer_tables_message.js';
-import {JsonCaller} from '../channels/json_caller.js';
+import {JsonClient} from '../channels/json_client.js';
 
 const LOAD_TIMEOUT_MS = 800;
 const OTHER_DEPLOYMENT = 'it belongs to another deployment';
 
 /** What is asked for. */
-export interface PeerTablesQuestion {
+export interface PeerTablesRequest {
   /** Changes of tables after these revisions; -1 for a whole table. */
   readonly after: Partial<TableRevisions>;
   /** Whether the hosts that it knows are wanted too. */
@@ -25,21 +25,21 @@
   /** Asks the host at an address (`ip:port`); an error says why it gave none. */
   load(
     address: string,
-    question: PeerTablesQuestion,
+    question: PeerTablesRequest,
   ): Promise<Result<PeerTables, string>>;
   close(): void;
 }
 
 /** Asks over HTTP. */
-export class PeerTableCaller implements PeerTableSource {
-  private readonly caller = new JsonCaller();
+export class HttpPeerTableSource implements PeerTableSource {
+  private readonly caller = new JsonClient();
 
   /** @param deployment The tag of the deployment (`PeerFrame`). */
   constructor(private readonly deployment: string) {}
 
   async load(
     address: string,
-    question: PeerTablesQuestion,
+    question: PeerTablesRequest,
   ): Promise<Result<PeerTables, string>> {
     const {deployment} = this;
     const query = new URLSearchParams({deployment});
--- a/packages/gateway/src/tables/peer_tables.ts
+++ b/packages/gateway/src/tables/peer_tables.ts
@@ -17,7 +17,7 @@
   UNKNOWN_AGE_MS,
   type PeerTables,
 } from '../model/peer_tables_message.js';
-import {FOLLOWED_TABLES} from '../model/watched_table.js';
+import {REPLICATED_TABLES} from '../model/table_store.js';
 import {PeerFrame} from '../model/peer_frame.js';
 import {HOST_IDENTITY} from '../services/identity.js';
 import {PEERS} from '../services/peers.js';
@@ -31,7 +31,7 @@
   now: number,
 ): PeerTables {
   const parts: PeerTables['parts'] = [];
-  for (const table of FOLLOWED_TABLES) {
+  for (const table of REPLICATED_TABLES) {
     const {replica} = tables[table];
     const ageMs = tables[table].getAgeMs(now);
     const asked = query.get(table);
--- a/packages/gateway/src/tables/restore_settling.ts
+++ b/packages/gateway/src/tables/restore_grace_period.ts
@@ -7,7 +7,7 @@
 import type {Clock} from '@irisdock/kernel';
 
 /** Dependencies of the grace period. */
-export interface RestoreSettlingParts {
+export interface RestoreGracePeriodParts {
   readonly clock: Clock;
   /** Aborts it. */
   readonly signal: AbortSignal;
@@ -18,14 +18,14 @@
 }
 
 /** The grace period of one table. */
-export class RestoreSettling {
+export class RestoreGracePeriod {
   private settlesAt = -Infinity;
   private running: Promise<void> | undefined;
 
-  constructor(private readonly parts: RestoreSettlingParts) {}
+  constructor(private readonly parts: RestoreGracePeriodParts) {}
 
   /** Whether the grace period is under way. */
-  isUnderWay(now: number): boolean {
+  isActive(now: number): boolean {
     return now < this.settlesAt;
   }
 
@@ -54,7 +54,7 @@
         continue;
       }
       const isRead = await readWhole();
-      if (isRead && !this.isUnderWay(clock.getNow())) return;
+      if (isRead && !this.isActive(clock.getNow())) return;
       await clock.wait(retryMs, signal);
     }
   }
--- a/packages/gateway/src/tables/store_standing.ts
+++ b/packages/gateway/src/tables/store_status.ts
@@ -9,9 +9,9 @@
   type ReaderReport,
   type ReaderReports,
 } from '@irisdock/decisions';
-import type {PeerPlace} from '../model/peer_message.js';
-import {FOLLOWED_TABLES, type FollowedTable} from '../model/watched_table.js';
-import type {ReaderRole} from './store_news.js';
+import type {PeerLocation} from '../model/peer_message.js';
+import {REPLICATED_TABLES, type ReplicatedTable} from '../model/table_store.js';
+import type {ReaderRole} from './store_update.js';
 import type {Tables} from './tables.js';
 
 /**
@@ -23,21 +23,23 @@
 const MAX_DELAY_MS = 60_000;
 
 /** The standing. */
-export class StoreStanding {
+export class StoreStatus {
   private reports = 0;
   /** The records by which the readers were last chosen. */
   private chosenBy: number | undefined;
   private hadTables = false;
 
   constructor(
-    private readonly view: HostView<PeerPlace>,
+    private readonly view: HostView<PeerLocation>,
     private readonly tables: Tables,
     private readonly readerReports: ReaderReports,
   ) {}
 
   /** Whether this host has a copy of all tables, however old. */
   get hasTables(): boolean {
-    return FOLLOWED_TABLES.every((name) => this.tables[name].replica.isLoaded);
+    return REPLICATED_TABLES.every(
+      (name) => this.tables[name].replica.isLoaded,
+    );
   }
 
   /**
@@ -46,7 +48,7 @@
    *
    * @param isAlone Whether this host knows of no other one, and of no seed.
    */
-  updateReading(isAlone: boolean): void {
+  updateRole(isAlone: boolean): void {
     const {view, hasTables} = this;
     const {ownRecord, recordsHash} = view;
     const isSame =
@@ -71,7 +73,7 @@
   }
 
   private setRoles(role: ReaderRole): void {
-    for (const name of FOLLOWED_TABLES) this.tables[name].setRole(role);
+    for (const name of REPLICATED_TABLES) this.tables[name].setRole(role);
   }
 
   /** Whether this host is one of the few that read the store. */
@@ -96,7 +98,7 @@
   }
 
   /** How long ago the copy of a table was certainly the newest, in ms. */
-  getAgeMs(table: FollowedTable, now: number): number {
+  getAgeMs(table: ReplicatedTable, now: number): number {
     if (table === 'configuration') return this.getConfigurationAgeMs(now);
     return Math.min(MAX_DELAY_MS, this.tables[table].getAgeMs(now));
   }
@@ -118,7 +120,7 @@
    * For how long a vanished entry stays in use, in ms: until the store had
    * time to list it again, by the word of whoever reached the store throughout.
    */
-  getDepartureDelay(now: number): number {
+  getDepartureDelayMs(now: number): number {
     const {endpoints} = this.tables;
     const told = this.readerReports.getDepartureDelayMs(now);
     if (!endpoints.isReading) return told ?? 0;
@@ -127,7 +129,9 @@
   }
 
   /** Whether the store failed this host a moment ago. */
-  isAway(now: number): boolean {
-    return FOLLOWED_TABLES.some((name) => this.tables[name].isAwayLately(now));
+  hasStoreFailedRecently(now: number): boolean {
+    return REPLICATED_TABLES.some((name) =>
+      this.tables[name].hasStoreFailedRecently(now),
+    );
   }
 }
--- a/packages/gateway/src/tables/store_news.ts
+++ b/packages/gateway/src/tables/store_update.ts
@@ -9,7 +9,7 @@
 export type ReaderRole = 'listener' | 'loader' | ReaderPlace;
 
 /** What the store has just shown: rows, and the change that they follow on. */
-export interface StoreNews {
+export interface StoreUpdate {
   /** None when nothing has changed. */
   readonly rows: readonly ReplicaRow[];
   /** The highest revision of a change before these. */
@@ -20,7 +20,7 @@
 }
 
 /** What another host says of the store. */
-export interface StoreWord {
+export interface FreshnessReport {
   /** The highest revision of a change then. */
   readonly newest: number;
   /** The store's revision then. */
@@ -28,7 +28,7 @@
   /** How long ago that was, in ms. */
   readonly ageMs: number;
   /** Whether it came by a reader's turn. */
-  readonly isTurn: boolean;
+  readonly isScheduledPoll: boolean;
 }
 
 /** Whether two roles are the same. */
--- a/packages/gateway/src/tables/table_follower.ts
+++ b/packages/gateway/src/tables/table_follower.ts
@@ -14,19 +14,15 @@
 } from '@irisdock/decisions';
 import {Channel, type Clock, type Logger} from '@irisdock/kernel';
 import type {FollowerOptions} from './follower_options.js';
-import {RestoreSettling} from './restore_settling.js';
+import {RestoreGracePeriod} from './restore_grace_period.js';
 import {TableLog} from './table_log.js';
 import {
   isSameRole,
   type ReaderRole,
-  type StoreNews,
-  type StoreWord,
-} from './store_news.js';
-import type {
-  TableName,
-  TablePart,
-  WatchedStore,
-} from '../model/watched_table.js';
+  type StoreUpdate,
+  type FreshnessReport,
+} from './store_update.js';
+import type {TableName, TableRows, TableStore} from '../model/table_store.js';
 
 /** How long a failure of the store keeps this host from reading, in ms. */
 const AWAY_LATELY_MS = 2500;
@@ -43,19 +39,19 @@
   private readonly age = new CopyAge();
   private readonly channel = new Channel<readonly ReplicaRow[]>();
   /** Rows that are news, in the order of their changes. */
-  readonly news = this.channel.stream;
+  readonly changes = this.channel.stream;
   private readonly controller = new AbortController();
   private running: Promise<void> = Promise.resolve();
   private mustReload = true;
   private failedAt = -Infinity;
-  private readonly settling: RestoreSettling;
+  private readonly settling: RestoreGracePeriod;
   private readonly report: TableLog;
   private role: ReaderRole = 'listener';
   private resumeReading: (() => void) | undefined;
   private readonly turns: ReaderTurns;
-  private readonly storeChannel = new Channel<StoreNews>();
+  private readonly storeChannel = new Channel<StoreUpdate>();
   /** What this host has just read from the store itself. */
-  readonly storeNews = this.storeChannel.stream;
+  readonly storeUpdates = this.storeChannel.stream;
 
   private readonly restoredChannel = new Channel<undefined>();
   /** Emits when a read shows that the store was restored. */
@@ -63,14 +59,14 @@
 
   constructor(
     readonly table: TableName,
-    private readonly store: WatchedStore,
+    private readonly store: TableStore,
     private readonly options: FollowerOptions,
     private readonly clock: Clock,
     log: Logger,
   ) {
     this.report = new TableLog(table, log);
     this.turns = new ReaderTurns(options.waitMs);
-    this.settling = new RestoreSettling({
+    this.settling = new RestoreGracePeriod({
       clock,
       signal: this.controller.signal,
       retryMs: options.retryMs,
@@ -94,7 +90,7 @@
   }
 
   /** Whether the store failed this host a moment ago. */
-  isAwayLately(now: number): boolean {
+  hasStoreFailedRecently(now: number): boolean {
     return this.contact.isAway && now - this.failedAt < AWAY_LATELY_MS;
   }
 
@@ -146,7 +142,12 @@
    *
    * @returns Whether it made this copy younger.
    */
-  applyWord({newest, revision, ageMs, isTurn}: StoreWord): boolean {
+  applyFreshness({
+    newest,
+    revision,
+    ageMs,
+    isScheduledPoll: isTurn,
+  }: FreshnessReport): boolean {
     const {replica} = this;
     if (!replica.isLoaded) return false;
     const at = this.clock.getNow() - ageMs;
@@ -165,7 +166,7 @@
    *
    * @returns What the store showed; undefined when it gave no answer.
    */
-  async pollStore(): Promise<StoreNews | undefined> {
+  async pollStore(): Promise<StoreUpdate | undefined> {
     const {replica, store, table} = this;
     const {signal} = this.controller;
     if (!replica.isLoaded || this.mustReload) return undefined;
@@ -184,7 +185,7 @@
    * Takes news that another host has just read; ignores what has a gap. True
    * when some of it was not known.
    */
-  applyNews(
+  applyUpdate(
     rows: readonly ReplicaRow[],
     after: number,
     revision: number,
@@ -255,7 +256,7 @@
   }
 
   /** Takes changes that the store has shown. */
-  private applyRead({rows, revision}: TablePart, source: string): StoreNews {
+  private applyRead({rows, revision}: TableRows, source: string): StoreUpdate {
     const {replica} = this;
     const after = replica.lastChange;
     // Rows with the value that they had are told too: the next change follows
@@ -266,12 +267,12 @@
     return {rows: taken, after, newest: replica.lastChange, revision};
   }
 
-  private applyWhole({rows, revision}: TablePart): number {
+  private applyWhole({rows, revision}: TableRows): number {
     const {replica} = this;
     // A store that lags is asked again, unless another host gave its copy since.
     // Changes during the read are no reason: where they keep coming, it never ends.
     const lags = replica.isLoaded && revision < replica.revision;
-    if (lags) this.report.writeLag(revision, replica.revision);
+    if (lags) this.report.writeStaleRead(revision, replica.revision);
     else this.mustReload = false;
     const isRestored = this.isFirstOfEra(revision);
     this.apply(revision, 'store', () =>
@@ -293,7 +294,7 @@
   ): ReplicaRow[] {
     const {replica, settling, clock} = this;
     const isOlder = replica.isLoaded && revision < replica.revision;
-    if (isOlder || !settling.isUnderWay(clock.getNow())) {
+    if (isOlder || !settling.isActive(clock.getNow())) {
       return replica.applyAll(rows, revision);
     }
     const isUndecided =
@@ -355,10 +356,10 @@
     if (kind === 'store_history_lost') {
       this.recordContact(now);
       this.mustReload = true;
-      this.report.writeForgotten();
+      this.report.writeHistoryLost();
       return 0;
     }
-    if (!this.contact.isAway) this.report.writeAway(kind);
+    if (!this.contact.isAway) this.report.writeUnavailable(kind);
     this.contact.recordFailure(now);
     this.failedAt = now;
     this.turns.startAnew(0);
@@ -366,7 +367,7 @@
   }
 
   private recordContact(now: number): void {
-    if (this.contact.isAway) this.report.writeBack();
+    if (this.contact.isAway) this.report.writeAvailable();
     this.contact.recordAnswer(now);
   }
 
--- a/packages/gateway/src/tables/table_log.ts
+++ b/packages/gateway/src/tables/table_log.ts
@@ -1,8 +1,8 @@
 /** Log lines of a host's copy of one table. */
 import {formatRevision} from '@irisdock/decisions';
 import type {Logger} from '@irisdock/kernel';
-import type {TableName} from '../model/watched_table.js';
-import type {ReaderRole} from './store_news.js';
+import type {TableName} from '../model/table_store.js';
+import type {ReaderRole} from './store_update.js';
 
 /** Writes them. */
 export class TableLog {
@@ -27,7 +27,7 @@
   }
 
   /** The store answered from a copy that lags. */
-  writeLag(revision: number, held: number): void {
+  writeStaleRead(revision: number, held: number): void {
     this.log.writeInfo('The store showed an older table; kept.', {
       table: this.table,
       revision: formatRevision(revision),
@@ -46,19 +46,19 @@
   }
 
   /** The store cannot give the changes after a revision any more. */
-  writeForgotten(): void {
+  writeHistoryLost(): void {
     const {table} = this;
     this.log.writeInfo('The store forgot its history; reading anew.', {table});
   }
 
   /** A call to the store failed. */
-  writeAway(kind: string): void {
+  writeUnavailable(kind: string): void {
     const {table} = this;
     this.log.writeWarning('The store is away.', {table, kind});
   }
 
   /** The store answers after a failure. */
-  writeBack(): void {
+  writeAvailable(): void {
     this.log.writeInfo('The store answers again.', {table: this.table});
   }
 }
--- a/packages/gateway/src/tables/tables.ts
+++ b/packages/gateway/src/tables/tables.ts
@@ -7,10 +7,10 @@
 } from '@irisdock/kernel';
 import * as z from 'zod';
 import {
-  FOLLOWED_TABLES,
-  type FollowedTable,
-  type WatchedStore,
-} from '../model/watched_table.js';
+  REPLICATED_TABLES,
+  type ReplicatedTable,
+  type TableStore,
+} from '../model/table_store.js';
 import {STORE} from '../services/store.js';
 import type {FollowerOptions} from './follower_options.js';
 import {TableFollower} from './table_follower.js';
@@ -68,7 +68,7 @@
 
 /** Creates the copies; none is followed before it is started. */
 export function createTables(
-  store: WatchedStore,
+  store: TableStore,
   settings: TableSettings,
   clock: Clock,
   log: Logger,
@@ -76,7 +76,7 @@
   const {waitMs, maxAgeMs, retryMs} = settings;
   const {configurationPaceMs, endpointsPaceMs} = settings;
   const createFollower = (
-    name: FollowedTable,
+    name: ReplicatedTable,
     options: FollowerOptions,
   ): TableFollower => new TableFollower(name, store, options, clock, log);
   return {
@@ -112,11 +112,11 @@
     return {
       api,
       start() {
-        for (const name of FOLLOWED_TABLES) api[name].start();
+        for (const name of REPLICATED_TABLES) api[name].start();
         return Promise.resolve();
       },
       stop() {
-        for (const name of FOLLOWED_TABLES) api[name].stop();
+        for (const name of REPLICATED_TABLES) api[name].stop();
         return Promise.resolve();
       },
     };
--- a/packages/gateway/src/tables/news_spreader.ts
+++ b/packages/gateway/src/tables/update_broadcaster.ts
@@ -11,28 +11,28 @@
  */
 import type {KnownHost, ReplicaRow} from '@irisdock/decisions';
 import type {Clock, Logger} from '@irisdock/kernel';
-import type {NewsDatagram, PeerPlace} from '../model/peer_message.js';
-import {createNewsParts, decodePackedRows} from '../model/table_news.js';
-import {FOLLOWED_TABLES, type FollowedTable} from '../model/watched_table.js';
+import type {TableUpdateDatagram, PeerLocation} from '../model/peer_message.js';
+import {createUpdateParts, decodePackedRows} from '../model/table_update.js';
+import {REPLICATED_TABLES, type ReplicatedTable} from '../model/table_store.js';
 import type {PeerTableLoader} from './peer_table_loader.js';
-import type {StoreNews} from './store_news.js';
+import type {StoreUpdate} from './store_update.js';
 import type {TableFollower} from './table_follower.js';
 import type {Tables} from './tables.js';
 import type {SendToHosts} from '../services/use_notices.js';
 
 /** The hosts that news goes to. */
-export interface NewsTargets {
+export interface UpdateTargets {
   /** Lists the other hosts of this host's group. */
-  listGroup(): KnownHost<PeerPlace>[];
+  listGroup(): KnownHost<PeerLocation>[];
   /** Lists a few hosts of each other group, drawn at random. */
-  listRelays(): KnownHost<PeerPlace>[];
+  listRelays(): KnownHost<PeerLocation>[];
 }
 
 /** What the spreader needs of the rest. */
-export interface NewsSpreaderParts {
+export interface UpdateBroadcasterParts {
   readonly tables: Tables;
   readonly loader: PeerTableLoader;
-  readonly targets: NewsTargets;
+  readonly targets: UpdateTargets;
   /** Whether a known host answers other hosts at this address. */
   isHost(tables: string): boolean;
   /** Where other hosts ask this one for its tables, as `ip:port`. */
@@ -47,21 +47,21 @@
 const PARTS_MS = 20;
 
 /** Spreads what the store shows. */
-export class NewsSpreader {
+export class UpdateBroadcaster {
   private isClosed = false;
   /** The newest changes that were passed on once they were here. */
-  private readonly passedOn: Record<FollowedTable, number> = {
+  private readonly passedOn: Record<ReplicatedTable, number> = {
     configuration: 0,
     endpoints: 0,
     crashes: 0,
   };
 
-  constructor(private readonly parts: NewsSpreaderParts) {}
+  constructor(private readonly parts: UpdateBroadcasterParts) {}
 
   /** Starts to tell what the store brings. */
   start(): void {
-    for (const table of FOLLOWED_TABLES) {
-      void this.parts.tables[table].storeNews.observe((news) => {
+    for (const table of REPLICATED_TABLES) {
+      void this.parts.tables[table].storeUpdates.observe((news) => {
         this.publish(table, news, true);
       });
     }
@@ -72,7 +72,7 @@
   }
 
   /** Takes news in; what does not follow on what is known is asked for. */
-  accept(datagram: NewsDatagram): void {
+  accept(datagram: TableUpdateDatagram): void {
     const {table, after, revision, newest, packedRows} = datagram;
     const follower = this.parts.tables[table];
     // An address may have belonged to another deployment, whose revisions would
@@ -81,8 +81,8 @@
     const rows = this.decodeRows(table, packedRows);
     if (rows === undefined || !follower.replica.isLoaded) return;
     const hasRows = rows.length > 0;
-    const brings = hasRows && follower.applyNews(rows, after, revision);
-    const isYounger = follower.applyWord(datagram);
+    const brings = hasRows && follower.applyUpdate(rows, after, revision);
+    const isYounger = follower.applyFreshness(datagram);
     const lacks = newest > follower.replica.lastChange;
     if (lacks) void this.loadMissing(datagram, follower);
     // Its group is told once it can ask this host.
@@ -92,13 +92,17 @@
   }
 
   /** Tells the other hosts what the store has just shown this one. */
-  publish(table: FollowedTable, news: StoreNews, isTurn: boolean): void {
+  publish(
+    table: ReplicatedTable,
+    news: StoreUpdate,
+    isScheduledPoll: boolean,
+  ): void {
     if (this.isClosed) return;
     const {source} = this.parts;
     const {rows, after, revision, newest} = news;
-    const told = {newest, ageMs: 0, isTurn, source};
+    const told = {newest, ageMs: 0, isScheduledPoll: isScheduledPoll, source};
     const word = {kind: 'news', table, ...told} as const;
-    const parts = createNewsParts(rows, after, revision) ?? [];
+    const parts = createUpdateParts(rows, after, revision) ?? [];
     for (const part of parts) this.sendToAll({...word, ...part});
     if (parts.length > 0) return;
     this.sendToAll({...word, after: newest, revision, packedRows: NO_ROWS});
@@ -106,7 +110,7 @@
 
   /** Asks for what a datagram told of and did not bring. */
   private async loadMissing(
-    datagram: NewsDatagram,
+    datagram: TableUpdateDatagram,
     follower: TableFollower,
   ): Promise<void> {
     const {table, newest, source, packedRows} = datagram;
@@ -122,7 +126,7 @@
     this.passOn({...datagram, source: this.parts.source, ageMs});
   }
 
-  private passOn(datagram: NewsDatagram): void {
+  private passOn(datagram: TableUpdateDatagram): void {
     if (!datagram.isForGroup) return;
     const {send, targets} = this.parts;
     send(targets.listGroup(), {...datagram, isForGroup: false});
@@ -130,7 +134,7 @@
 
   /** Undefined when they cannot be read. */
   private decodeRows(
-    table: FollowedTable,
+    table: ReplicatedTable,
     packedRows: Uint8Array,
   ): ReplicaRow[] | undefined {
     if (packedRows.length === 0) return [];
@@ -142,7 +146,7 @@
     return undefined;
   }
 
-  private sendToAll(datagram: Omit<NewsDatagram, 'isForGroup'>): void {
+  private sendToAll(datagram: Omit<TableUpdateDatagram, 'isForGroup'>): void {
     const {send, targets} = this.parts;
     send(targets.listGroup(), {...datagram, isForGroup: false});
     send(targets.listRelays(), {...datagram, isForGroup: true});
--- a/packages/gateway/tests/change_in_time.test.ts
+++ b/packages/gateway/tests/change_in_time.test.ts
@@ -89,7 +89,7 @@
       it('is in force in time on a host that hears no other one', async () => {
         const fleet = await createFleet(size, seed);
         const alone = fleet.hosts.at(-1);
-        fleet.isCut = (one, other) => one === alone || other === alone;
+        fleet.isPartitioned = (one, other) => one === alone || other === alone;
         const versions: number[] = [];
         for (let round = 0; round < 10; round++) {
           versions.push(fleet.writeChange());
@@ -107,12 +107,12 @@
         const silent = new Set<FleetHost>();
         for (let round = 0; round < 6; round++) {
           const readers = fleet.listReaders(fleet.hosts[0]);
-          for (const reader of readers) reader.door.state = 'silent';
+          for (const reader of readers) reader.storeClient.state = 'silent';
           for (const reader of readers) silent.add(reader);
           await fleet.clock.run(100 + fleet.random.getInt(400));
           versions.push(fleet.writeChange());
           await fleet.clock.run(LONG_MS);
-          for (const reader of readers) reader.door.state = 'open';
+          for (const reader of readers) reader.storeClient.state = 'open';
           await fleet.clock.run(LONG_MS);
         }
         fleet.stop();
@@ -141,7 +141,7 @@
     await fleet.clock.run(LONG_MS);
     // It knows nobody, and the store says nothing to it: it cannot get a copy.
     void reader.start([]);
-    reader.door.state = 'silent';
+    reader.storeClient.state = 'silent';
     const before = fleet.listReaders(other);
     for (let beat = 0; beat < 10; beat++) {
       await fleet.clock.run(100);
@@ -197,6 +197,6 @@
 
 function countCalls(fleet: TableFleet): number {
   let calls = 0;
-  for (const {door} of fleet.hosts) calls += door.calls;
+  for (const {storeClient: door} of fleet.hosts) calls += door.calls;
   return calls;
 }
--- a/packages/gateway/tests/engine_groups.test.ts
+++ b/packages/gateway/tests/engine_groups.test.ts
@@ -2,13 +2,13 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {HostView, type HousedEngine} from '@irisdock/decisions';
-import {EngineGroups, type PeerPlace} from '@irisdock/gateway';
+import {EngineGroups, type PeerLocation} from '@irisdock/gateway';
 import {SeededRandom} from '@irisdock/kernel';
 
 const DOMAINS = 6;
 const TIMES = {lostAfterMs: 3000, forgetAfterMs: 60_000};
 
-function createPlace(at: number): PeerPlace {
+function createPlace(at: number): PeerLocation {
   return {
     failureDomain: `domain-${at % DOMAINS}`,
     datagrams: `10.0.0.1:${at}`,
@@ -17,7 +17,7 @@
   };
 }
 
-function createView(hosts: number): HostView<PeerPlace> {
+function createView(hosts: number): HostView<PeerLocation> {
   const createRecord = (at: number) =>
     ({
       name: `host-${at}`,
--- a/packages/gateway/tests/peer_datagrams.test.ts
+++ b/packages/gateway/tests/peer_datagrams.test.ts
@@ -4,12 +4,12 @@
 import {encode} from '@msgpack/msgpack';
 import {TableReplica, type ReplicaRow} from '@irisdock/decisions';
 import {
-  createNewsParts,
+  createUpdateParts,
   decodePeerDatagram,
   encodePeerDatagram,
   decodePackedRows,
   type PeerDatagram,
-  type WatchDatagram,
+  type MembershipDatagram,
 } from '@irisdock/gateway';
 import fc from 'fast-check';
 
@@ -20,7 +20,9 @@
 /** Larger datagrams may be cut on the way, in bytes. */
 const MAX_DATAGRAM = 1300;
 
-function createWatch(change: Partial<WatchDatagram['watch']>): WatchDatagram {
+function createWatch(
+  change: Partial<MembershipDatagram['watch']>,
+): MembershipDatagram {
   const record = {
     name: 'host-1',
     incarnation: 1_790_000_000_000,
@@ -151,7 +153,7 @@
       revision: 9,
       newest: 8,
       ageMs: 12,
-      isTurn: false,
+      isScheduledPoll: false,
       source: '10.0.0.1:8029',
       isForGroup: true,
       packedRows: Uint8Array.from([1, 2, 3]),
@@ -231,14 +233,14 @@
       fc.property(changes, (list) => {
         const rows = createRows(list);
         const last = rows.at(-1)?.revision ?? 0;
-        const parts = createNewsParts(rows, 10, last) ?? [];
+        const parts = createUpdateParts(rows, 10, last) ?? [];
         const copy = new TableReplica();
         copy.applyAll([], 10);
         for (const part of parts) {
           const kind = 'news';
           const table = 'endpoints';
           const source = '10.128.240.160:18029';
-          const word = {newest: last, ageMs: 0, isTurn: true, source};
+          const word = {newest: last, ageMs: 0, isScheduledPoll: true, source};
           const isForGroup = true;
           const news = {kind, table, ...word, ...part, isForGroup} as const;
           assert.ok(encodePeerDatagram(news).length <= MAX_DATAGRAM);
@@ -260,7 +262,7 @@
     let value = '';
     for (let at = 0; at < 900; at++) value += String((at * 7919) % 9973);
     const row = {key: 'a', value, revision: 11};
-    assert.equal(createNewsParts([row], 10, 11), undefined);
+    assert.equal(createUpdateParts([row], 10, 11), undefined);
   });
 
   it('are refused when they cannot be unpacked', () => {
--- a/packages/gateway/tests/peer_frame.test.ts
+++ b/packages/gateway/tests/peer_frame.test.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check';
 import {RoarrLogger} from '@irisdock/kernel';
 import {FramedPort} from '../src/channels/framed_port.js';
-import type {HandleDatagram} from '../src/channels/datagram_socket.js';
+import type {DatagramHandler} from '../src/channels/datagram_socket.js';
 import {PeerFrame, type DropReason} from '../src/model/peer_frame.js';
 import {VirtualClock} from './fixtures/virtual_clock.js';
 
@@ -17,7 +17,7 @@
   readonly sent: Uint8Array[];
   readonly taken: Uint8Array[];
   readonly drops: DropReason[];
-  receive: HandleDatagram;
+  receive: DatagramHandler;
 }
 
 /** Creates a port of a deployment without a socket. */
@@ -25,7 +25,7 @@
   const sent: Uint8Array[] = [];
   const taken: Uint8Array[] = [];
   const drops: DropReason[] = [];
-  let receive: HandleDatagram = () => undefined;
+  let receive: DatagramHandler = () => undefined;
   const port = new FramedPort(
     {
       deployment,
--- a/packages/gateway/tests/peer_table_loader.test.ts
+++ b/packages/gateway/tests/peer_table_loader.test.ts
@@ -15,7 +15,7 @@
 import {RoarrLogger} from '@irisdock/kernel';
 import {err, ok, type Result} from 'neverthrow';
 import type {PeerTables} from '../src/model/peer_tables_message.js';
-import {FOLLOWED_TABLES} from '../src/model/watched_table.js';
+import {REPLICATED_TABLES} from '../src/model/table_store.js';
 import {PeerTableLoader} from '../src/tables/peer_table_loader.js';
 import {
   createTables,
@@ -23,7 +23,7 @@
   type Tables,
 } from '../src/tables/tables.js';
 import {VirtualClock} from './fixtures/virtual_clock.js';
-import {StoreDoor, VirtualStore} from './fixtures/virtual_store.js';
+import {VirtualStoreClient, VirtualStore} from './fixtures/virtual_store.js';
 
 const LOST = '10.0.0.1:1';
 const GOOD = '10.0.0.2:1';
@@ -49,9 +49,9 @@
 function createLoading(): Loading {
   const clock = new VirtualClock();
   const log = new RoarrLogger('test', 'off');
-  const door = new StoreDoor(new VirtualStore(clock));
+  const door = new VirtualStoreClient(new VirtualStore(clock));
   const tables = createTables(door, createTableSettings(), clock, log);
-  for (const name of FOLLOWED_TABLES) {
+  for (const name of REPLICATED_TABLES) {
     tables[name].applyFromHost([{key: 'a', value: 'x', revision: 1}], 1, true);
   }
   const asked: string[] = [];
@@ -70,8 +70,8 @@
 describe('a newer configuration', () => {
   it('is asked for where it is, beside a lost host that told of other tables', async () => {
     const {clock, tables, loader, asked} = createLoading();
-    loader.markRevisions({...OLD, crashes: 50}, LOST, clock.getNow());
-    loader.markRevisions({...OLD, configuration: 20}, GOOD, clock.getNow());
+    loader.recordRevisions({...OLD, crashes: 50}, LOST, clock.getNow());
+    loader.recordRevisions({...OLD, configuration: 20}, GOOD, clock.getNow());
     for (let beat = 0; beat < 10; beat++) {
       await clock.run(BEAT_MS);
       loader.loadNewer(clock.getNow());
@@ -85,7 +85,7 @@
 
   it('is asked of a second host when the first does not answer at once', async () => {
     const {clock, tables, loader, asked} = createLoading();
-    loader.markRevisions({...OLD, configuration: 20}, GOOD, clock.getNow());
+    loader.recordRevisions({...OLD, configuration: 20}, GOOD, clock.getNow());
     // Who told last is asked first, and is dark.
     void loader.loadChange('configuration', 20, LOST);
     await clock.run(TIMEOUT_MS / 2);
--- a/packages/gateway/tests/restored_in_time.test.ts
+++ b/packages/gateway/tests/restored_in_time.test.ts
@@ -36,10 +36,10 @@
 async function runRestore(fleet: TableFleet): Promise<number> {
   const snapshot = fleet.store.takeSnapshot();
   await writeSome(fleet);
-  for (const {door} of fleet.hosts) door.state = 'busy';
+  for (const {storeClient: door} of fleet.hosts) door.state = 'busy';
   await fleet.clock.run(fleet.random.getInt(2500));
   fleet.store.loadSnapshot(snapshot);
-  for (const {door} of fleet.hosts) door.state = 'open';
+  for (const {storeClient: door} of fleet.hosts) door.state = 'open';
   await fleet.clock.run(fleet.random.getInt(1500));
   return fleet.writeChange();
 }
--- a/packages/gateway/tests/table_follower.test.ts
+++ b/packages/gateway/tests/table_follower.test.ts
@@ -6,32 +6,32 @@
 import {err, ok, type Result} from 'neverthrow';
 import type {
   StoreError,
-  TablePart,
-  WatchedStore,
-} from '../src/model/watched_table.js';
+  TableRows,
+  TableStore,
+} from '../src/model/table_store.js';
 import {TableFollower} from '../src/tables/table_follower.js';
 import {createTables, createTableSettings} from '../src/tables/tables.js';
-import {UnwrittenStore} from './fixtures/unwritten_store.js';
+import {ReadOnlyStore} from './fixtures/read_only_store.js';
 import {VirtualClock} from './fixtures/virtual_clock.js';
 import {
-  StoreDoor,
+  VirtualStoreClient,
   STORE_ERRORS,
   VirtualStore,
 } from './fixtures/virtual_store.js';
 
 const OPTIONS = {waitMs: 20, maxAgeMs: 1000, paceMs: 0, retryMs: 10};
 
-function createRows(revision: number): TablePart {
+function createRows(revision: number): TableRows {
   return {rows: [{key: 'a', value: 'x', revision}], revision};
 }
 
 /** A store whose whole reads wait until they are let go, as of `revision`. */
-class SlowStore extends UnwrittenStore {
+class SlowStore extends ReadOnlyStore {
   reads = 0;
   revision = 5;
   private readonly waiting: (() => void)[] = [];
 
-  async readAll(): Promise<Result<TablePart, StoreError>> {
+  async readAll(): Promise<Result<TableRows, StoreError>> {
     this.reads++;
     const part = createRows(this.revision);
     await new Promise<void>((resolve) => this.waiting.push(resolve));
@@ -42,7 +42,7 @@
     _table: string,
     after: number,
     waitMs: number,
-  ): Promise<Result<TablePart, StoreError>> {
+  ): Promise<Result<TableRows, StoreError>> {
     await pause(waitMs);
     return ok({rows: [], revision: Math.max(after, this.revision)});
   }
@@ -109,16 +109,16 @@
   const PLACES = [0, 1, 2];
 
   async function runReaders(
-    wrap: (door: StoreDoor) => WatchedStore,
-  ): Promise<StoreDoor[]> {
+    wrap: (door: VirtualStoreClient) => TableStore,
+  ): Promise<VirtualStoreClient[]> {
     const clock = new VirtualClock();
     const log = new RoarrLogger('test', 'off');
     const store = new VirtualStore(clock);
     store.put('configuration', 'config', 'x');
-    const doors: StoreDoor[] = [];
+    const doors: VirtualStoreClient[] = [];
     const followers: TableFollower[] = [];
     for (const place of PLACES) {
-      const door = new StoreDoor(store);
+      const door = new VirtualStoreClient(store);
       const settings = createTableSettings();
       const tables = createTables(wrap(door), settings, clock, log);
       const follower = tables.configuration;
@@ -128,10 +128,10 @@
       followers.push(follower);
     }
     for (const one of followers) {
-      void one.storeNews.observe(({newest, revision}) => {
-        const word = {newest, revision, ageMs: 0.25, isTurn: true};
+      void one.storeUpdates.observe(({newest, revision}) => {
+        const word = {newest, revision, ageMs: 0.25, isScheduledPoll: true};
         for (const other of followers) {
-          if (other !== one) other.applyWord(word);
+          if (other !== one) other.applyFreshness(word);
         }
       });
     }
@@ -170,19 +170,19 @@
 });
 
 /** A store that forgot its history and gives whole tables when it is told to. */
-class RestoredStore extends UnwrittenStore {
+class RestoredStore extends ReadOnlyStore {
   private readonly waiting: (() => void)[] = [];
 
-  constructor(private readonly part: TablePart) {
+  constructor(private readonly part: TableRows) {
     super();
   }
 
-  async readAll(): Promise<Result<TablePart, StoreError>> {
+  async readAll(): Promise<Result<TableRows, StoreError>> {
     await new Promise<void>((resolve) => this.waiting.push(resolve));
     return ok(this.part);
   }
 
-  readChanges(): Promise<Result<TablePart, StoreError>> {
+  readChanges(): Promise<Result<TableRows, StoreError>> {
     return Promise.resolve(err(STORE_ERRORS.create('store_history_lost')));
   }
 
@@ -241,7 +241,12 @@
     follower.start();
     await clock.run(20);
     const {revision} = restored;
-    follower.applyWord({newest: 5, revision, ageMs: 0, isTurn: true});
+    follower.applyFreshness({
+      newest: 5,
+      revision,
+      ageMs: 0,
+      isScheduledPoll: true,
+    });
     store.resume();
     await clock.run(20);
     await checkKept(bed);
--- a/scripts/change_trials.mjs
+++ b/scripts/change_trials.mjs
@@ -9,7 +9,7 @@
 export const CHANGE_TRIALS = [
   [
     'change: a copy that nobody vouches for is checked',
-    `${TABLES}/copy_checks.js`,
+    `${TABLES}/freshness_checker.js`,
     'if (delayMs === 0) {',
     'if (false) {',
     FLEET,
@@ -17,7 +17,7 @@
   ],
   [
     'change: who is told of a change asks for it at once',
-    `${TABLES}/news_spreader.js`,
+    `${TABLES}/update_broadcaster.js`,
     'void this.loadMissing(datagram, follower);',
     '',
     FLEET,
--- a/scripts/check_soak.mjs
+++ b/scripts/check_soak.mjs
@@ -28,8 +28,8 @@
   ],
   [
     'a cut answer does not look whole',
-    /isWhole: \(\) => [^\n]*/,
-    'isWhole: () => true,',
+    /isComplete: \(\) => [^\n]*/,
+    'isComplete: () => true,',
   ],
   ['a planned stop waits for what it has', /, await waitDrained\([^;]*/, ''],
   [
--- a/scripts/restore_trials.mjs
+++ b/scripts/restore_trials.mjs
@@ -27,7 +27,7 @@
   ],
   [
     'restore: then it is gone',
-    `${GATEWAY}/tables/restore_settling.js`,
+    `${GATEWAY}/tables/restore_grace_period.js`,
     'const isRead = await readWhole();',
     'const isRead = true;',
     HOSTS,
