--- a/packages/gateway/tests/peer_datagrams.test.ts
+++ b/packages/gateway/tests/peer_datagrams.test.ts
@@ -1,4 +1,4 @@
-/** The datagrams between hosts: what is written is read, the rest is refused. */
+/** Datagrams between hosts: encoding and decoding, and malformed input. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {encode} from '@msgpack/msgpack';
@@ -17,10 +17,10 @@
   seed: Number(process.env['IRISDOCK_SEED'] ?? 20261202),
   numRuns: Number(process.env['IRISDOCK_RUNS'] ?? 200),
 };
-/** Larger datagrams may be cut on the way, in bytes. */
-const MAX_DATAGRAM = 1300;
+/** Larger datagrams may be fragmented or truncated on the way, in bytes. */
+const MAX_DATAGRAM_BYTES = 1300;
 
-function createWatch(
+function createMembership(
   change: Partial<MembershipDatagram['watch']>,
 ): MembershipDatagram {
   const record = {
@@ -68,9 +68,9 @@
 
 describe('the datagrams of hosts', () => {
   const datagrams: readonly PeerDatagram[] = [
-    createWatch({}),
-    createWatch({kind: 'relay', target: 'host-2', place: undefined}),
-    createWatch({kind: 'answer', asker: 'host-3', changes: []}),
+    createMembership({}),
+    createMembership({kind: 'relay', target: 'host-2', place: undefined}),
+    createMembership({kind: 'answer', asker: 'host-3', changes: []}),
     {
       kind: 'uses',
       name: 'host-1',
@@ -160,14 +160,14 @@
     },
   ];
   for (const datagram of datagrams) {
-    it(`are read as they were written: ${datagram.kind}`, () => {
+    it(`are decoded as they were encoded: ${datagram.kind}`, () => {
       const bytes = encodePeerDatagram(datagram);
       assert.deepEqual(decodePeerDatagram(bytes)._unsafeUnwrap(), datagram);
     });
   }
 
-  it('are refused with the field that is wrong', () => {
-    const wrong: readonly [unknown, RegExp][] = [
+  it('are refused with the field that is malformed', () => {
+    const malformed: readonly [unknown, RegExp][] = [
       ['text', /no tuple/],
       [['x'], /field 1/],
       [['w', 'probe', ['host', 'one']], /field 2 is no number/],
@@ -179,13 +179,13 @@
       [['m', 'host', [['i-1', NaN, 5]]], /no number/],
       [['m', 'host', [['i-1', 3, Infinity]]], /no number/],
     ];
-    for (const [value, fault] of wrong) {
+    for (const [value, fault] of malformed) {
       const decoded = decodePeerDatagram(encode(value));
       assert.match(decoded._unsafeUnwrapErr(), fault);
     }
   });
 
-  it('never bring the reader down, whatever arrives', () => {
+  it('never make the decoder throw, whatever arrives', () => {
     const bytes = fc.uint8Array({maxLength: 80});
     fc.assert(
       fc.property(bytes, (list) => {
@@ -196,7 +196,7 @@
   });
 });
 
-/** How a row changes; `step` is how far the revision rises. */
+/** A change of a row; `step` is the increase of the revision. */
 interface RowChange {
   readonly key: number;
   readonly step: number;
@@ -204,7 +204,7 @@
   readonly size: number;
 }
 
-describe('news of a table', () => {
+describe('updates of a table', () => {
   const changes = fc.array(
     fc.record({
       key: fc.integer({min: 1, max: 60}),
@@ -228,31 +228,42 @@
     return [...rows.values()];
   }
 
-  it('fit into datagrams and lead a copy to the same rows', () => {
+  it('fit into datagrams and lead a replica to the same rows', () => {
     fc.assert(
       fc.property(changes, (list) => {
         const rows = createRows(list);
         const last = rows.at(-1)?.revision ?? 0;
         const parts = createUpdateParts(rows, 10, last) ?? [];
-        const copy = new TableReplica();
-        copy.applyAll([], 10);
+        const replica = new TableReplica();
+        replica.applyAll([], 10);
         for (const part of parts) {
           const kind = 'news';
           const table = 'endpoints';
           const source = '10.128.240.160:18029';
-          const word = {newest: last, ageMs: 0, isScheduledPoll: true, source};
+          const freshness = {
+            newest: last,
+            ageMs: 0,
+            isScheduledPoll: true,
+            source,
+          };
           const isForGroup = true;
-          const news = {kind, table, ...word, ...part, isForGroup} as const;
-          assert.ok(encodePeerDatagram(news).length <= MAX_DATAGRAM);
-          assert.ok(part.after <= Math.max(10, copy.lastChange));
+          const update = {
+            kind,
+            table,
+            ...freshness,
+            ...part,
+            isForGroup,
+          } as const;
+          assert.ok(encodePeerDatagram(update).length <= MAX_DATAGRAM_BYTES);
+          assert.ok(part.after <= Math.max(10, replica.lastChange));
           const unpacked = decodePackedRows(part.packedRows)._unsafeUnwrap();
-          copy.applyChanges(unpacked, part.revision);
+          replica.applyChanges(unpacked, part.revision);
         }
-        assert.equal(copy.revision, Math.max(10, last));
-        const whole = new TableReplica();
-        whole.applyAll([], 10);
-        whole.applyChanges(rows, last);
-        assert.deepEqual(copy.listAll(), whole.listAll());
+        assert.equal(replica.revision, Math.max(10, last));
+        const expected = new TableReplica();
+        expected.applyAll([], 10);
+        expected.applyChanges(rows, last);
+        assert.deepEqual(replica.listAll(), expected.listAll());
       }),
       RUN_OPTIONS,
     );
--- a/packages/gateway/tests/peer_frame.test.ts
+++ b/packages/gateway/tests/peer_frame.test.ts
@@ -1,4 +1,4 @@
-/** Which datagrams are of the own deployment, and what becomes of others. */
+/** Only datagrams of the same deployment are accepted; others are counted. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import fc from 'fast-check';
@@ -12,18 +12,18 @@
 const HEADER_BYTES = 9;
 const SENDER = '127.0.0.1:1';
 
-interface Bed {
+interface Fixture {
   readonly port: FramedPort;
   readonly sent: Uint8Array[];
-  readonly taken: Uint8Array[];
+  readonly received: Uint8Array[];
   readonly drops: DropReason[];
   receive: DatagramHandler;
 }
 
-/** Creates a port of a deployment without a socket. */
-function createBed(deployment: string): Bed {
+/** Creates a port of a deployment on a fake socket. */
+function createFixture(deployment: string): Fixture {
   const sent: Uint8Array[] = [];
-  const taken: Uint8Array[] = [];
+  const received: Uint8Array[] = [];
   const drops: DropReason[] = [];
   let receive: DatagramHandler = () => undefined;
   const port = new FramedPort(
@@ -41,9 +41,9 @@
       clock: new VirtualClock(),
       log: new RoarrLogger('test', 'off'),
     },
-    (payload) => taken.push(payload),
+    (payload) => received.push(payload),
   );
-  return {port, sent, taken, drops, receive};
+  return {port, sent, received, drops, receive};
 }
 
 describe('a frame', () => {
@@ -60,7 +60,7 @@
     );
   });
 
-  // Guards against a damaged header that passes for another deployment's.
+  // Guards against a damaged header that is accepted as valid.
   it('with any bit of its header flipped is dropped', () => {
     const frame = new PeerFrame('one');
     const framed = frame.encode(Buffer.of(1, 2, 3));
@@ -72,7 +72,7 @@
     }
   });
 
-  it('that is cut or arbitrary is dropped without a fault', () => {
+  it('that is truncated or arbitrary is dropped without an exception', () => {
     const frame = new PeerFrame('one');
     const framed = frame.encode(new Uint8Array());
     for (let length = 0; length < framed.length; length++) {
@@ -89,23 +89,23 @@
 });
 
 describe('a port of one deployment', () => {
-  it('takes what its own hosts send', () => {
-    const {port, sent, taken, drops, receive} = createBed('one');
+  it('accepts what hosts of its own deployment send', () => {
+    const {port, sent, received, drops, receive} = createFixture('one');
     port.send(Buffer.of(7), SENDER);
     for (const datagram of sent) receive(datagram, SENDER);
     assert.deepEqual(
-      taken.map((payload) => [...payload]),
+      received.map((payload) => [...payload]),
       [[7]],
     );
     assert.deepEqual(drops, []);
   });
 
   it('counts and drops what others send', () => {
-    const {taken, drops, receive} = createBed('one');
+    const {received, drops, receive} = createFixture('one');
     receive(new PeerFrame('two').encode(Buffer.of(7)), SENDER);
     receive(Buffer.of(1, 2), SENDER);
     receive(Buffer.alloc(HEADER_BYTES, 9), SENDER);
-    assert.deepEqual(taken, []);
+    assert.deepEqual(received, []);
     assert.deepEqual(drops, ['other_deployment', 'malformed', 'other_version']);
   });
 });
--- a/packages/gateway/tests/table_follower.test.ts
+++ b/packages/gateway/tests/table_follower.test.ts
@@ -1,4 +1,4 @@
-/** When a host reads a table whole, and when it does so again. */
+/** When a host reads a whole table, and which reads it repeats. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {createRevision, type ReplicaRow} from '@irisdock/decisions';
@@ -25,7 +25,7 @@
   return {rows: [{key: 'a', value: 'x', revision}], revision};
 }
 
-/** A store whose whole reads wait until they are let go, as of `revision`. */
+/** A store whose reads of whole tables return `revision` when resumed. */
 class SlowStore extends ReadOnlyStore {
   reads = 0;
   revision = 5;
@@ -51,9 +51,9 @@
     this.resume();
   }
 
-  /** Lets the reads that wait go on. */
+  /** Lets the pending reads return. */
   resume(): void {
-    for (const go of this.waiting.splice(0)) go();
+    for (const resume of this.waiting.splice(0)) resume();
   }
 }
 
@@ -71,7 +71,7 @@
 }
 
 describe('a table that is read whole', () => {
-  it('is not read again when another host gave a newer copy meanwhile', async () => {
+  it('is not read again when another host sent a newer replica meanwhile', async () => {
     const store = new SlowStore();
     const follower = createFollower(store);
     await pause(20);
@@ -85,7 +85,7 @@
     assert.equal(follower.replica.revision, 9);
   });
 
-  it('keeps what is newer when the store answers from a copy that lags', async () => {
+  it('keeps newer rows when the store returns a stale table', async () => {
     const store = new SlowStore();
     const follower = createFollower(store);
     await pause(20);
@@ -99,56 +99,56 @@
 });
 
 /*
- * Readers moved their turns by parts of a ms, and the store took a wait that is
- * no whole number for none: it answered at once, and was asked again at once,
- * 36,939 calls in a play of 46 s where 449 are usual. A store that does not
- * wait, for whatever reason, must not be asked all the time.
+ * Guards against a busy loop. Readers shift their polls by fractions of a ms, and
+ * a store that takes a fractional wait as none responds at once: 36,939 calls in
+ * 46 s, where 449 are usual. A store that does not wait, for whatever reason,
+ * must not be polled continuously.
  */
-describe('a store that answers at once without a change', () => {
+describe('a store that responds at once without a change', () => {
   const REST_MS = 10_000;
   const PLACES = [0, 1, 2];
 
   async function runReaders(
-    wrap: (door: VirtualStoreClient) => TableStore,
+    wrap: (client: VirtualStoreClient) => TableStore,
   ): Promise<VirtualStoreClient[]> {
     const clock = new VirtualClock();
     const log = new RoarrLogger('test', 'off');
     const store = new VirtualStore(clock);
     store.put('configuration', 'config', 'x');
-    const doors: VirtualStoreClient[] = [];
+    const clients: VirtualStoreClient[] = [];
     const followers: TableFollower[] = [];
     for (const place of PLACES) {
-      const door = new VirtualStoreClient(store);
+      const client = new VirtualStoreClient(store);
       const settings = createTableSettings();
-      const tables = createTables(wrap(door), settings, clock, log);
+      const tables = createTables(wrap(client), settings, clock, log);
       const follower = tables.configuration;
       follower.setRole({place, count: PLACES.length});
       follower.start();
-      doors.push(door);
+      clients.push(client);
       followers.push(follower);
     }
     for (const one of followers) {
       void one.storeUpdates.observe(({newest, revision}) => {
-        const word = {newest, revision, ageMs: 0.25, isScheduledPoll: true};
+        const report = {newest, revision, ageMs: 0.25, isScheduledPoll: true};
         for (const other of followers) {
-          if (other !== one) other.applyFreshness(word);
+          if (other !== one) other.applyFreshness(report);
         }
       });
     }
     await clock.run(REST_MS);
     for (const follower of followers) follower.stop();
-    return doors;
+    return clients;
   }
 
   it('is asked for whole times only', async () => {
     const waits: number[] = [];
-    await runReaders((door) => {
-      const readChanges = door.readChanges.bind(door);
-      door.readChanges = (table, after, waitMs) => {
+    await runReaders((client) => {
+      const readChanges = client.readChanges.bind(client);
+      client.readChanges = (table, after, waitMs) => {
         waits.push(waitMs);
         return readChanges(table, after, waitMs);
       };
-      return door;
+      return client;
     });
     assert.deepEqual(
       waits.filter((waitMs) => !Number.isInteger(waitMs)),
@@ -157,19 +157,19 @@
   });
 
   it('is asked no more often than while changes come', async () => {
-    const doors = await runReaders((door) => {
-      const readChanges = door.readChanges.bind(door);
-      door.readChanges = (table, after) => readChanges(table, after, 0);
-      return door;
+    const clients = await runReaders((client) => {
+      const readChanges = client.readChanges.bind(client);
+      client.readChanges = (table, after) => readChanges(table, after, 0);
+      return client;
     });
     const {configurationPaceMs} = createTableSettings();
-    for (const {calls} of doors) {
+    for (const {calls} of clients) {
       assert.ok(calls <= REST_MS / configurationPaceMs + 2, `${calls} calls`);
     }
   });
 });
 
-/** A store that forgot its history and gives whole tables when it is told to. */
+/** A store without change history; whole tables are returned when resumed. */
 class RestoredStore extends ReadOnlyStore {
   private readonly waiting: (() => void)[] = [];
 
@@ -190,7 +190,7 @@
     this.resume();
   }
 
-  /** Answers the reads that wait. */
+  /** Lets the pending reads return. */
   resume(): void {
     for (const answer of this.waiting.splice(0)) answer();
   }
@@ -205,7 +205,7 @@
   const kept = [{key: 'a', value: 'x', revision: createRevision(era, 4)}];
   const restored = {rows: kept, revision: createRevision(era, 4)};
 
-  function createBed(): {
+  function createFixture(): {
     readonly clock: VirtualClock;
     readonly store: RestoredStore;
     readonly follower: TableFollower;
@@ -222,7 +222,7 @@
     clock,
     store,
     follower,
-  }: ReturnType<typeof createBed>): Promise<void> {
+  }: ReturnType<typeof createFixture>): Promise<void> {
     assert.equal(follower.replica.find('b')?.value, 'y');
     for (let steps = 0; steps < 40; steps++) {
       await clock.run(100);
@@ -233,10 +233,10 @@
     store.close();
   }
 
-  // Guards against endpoints that are dropped before they can register again.
+  // Guards against endpoints that are removed before they can register again.
   it('are kept for a while when another host reports the restore first', async () => {
-    const bed = createBed();
-    const {clock, store, follower} = bed;
+    const fixture = createFixture();
+    const {clock, store, follower} = fixture;
     follower.setRole({place: 0, count: 1});
     follower.start();
     await clock.run(20);
@@ -249,16 +249,16 @@
     });
     store.resume();
     await clock.run(20);
-    await checkKept(bed);
+    await checkKept(fixture);
   });
 
-  it('are kept for a while when a host without them gives its table', async () => {
-    const bed = createBed();
-    const {clock, follower} = bed;
+  it('are kept for a while when a host without them sends its table', async () => {
+    const fixture = createFixture();
+    const {clock, follower} = fixture;
     follower.setRole('listener');
     follower.start();
     follower.applyFromHost(kept, restored.revision, true);
     await clock.run(20);
-    await checkKept(bed);
+    await checkKept(fixture);
   });
 });
