--- a/packages/gateway/src/channels/datagram_socket.ts
+++ b/packages/gateway/src/channels/datagram_socket.ts
@@ -1,23 +1,23 @@
-/** A UDP socket at one place. */
+/** Ports for datagrams, and their implementation on UDP sockets. */
 import {createSocket, type Socket} from 'node:dgram';
 import {splitPlace} from '@irisdock/kernel';
 
-/** Takes and sends datagrams. */
+/** Receives and sends datagrams. */
 export interface DatagramPort {
-  /** Takes the place, as `ip:port`; port 0 takes a free one. */
-  start(place: string): Promise<string>;
-  /** Sends a datagram; whether it arrives is not known. */
-  send(bytes: Uint8Array, place: string): void;
+  /** Binds to `ip:port`, port 0 for any free port; gives the bound address. */
+  start(address: string): Promise<string>;
+  /** Sends a datagram, without any guarantee that it arrives. */
+  send(bytes: Uint8Array, address: string): void;
   close(): void;
 }
 
-/** Takes a datagram and its sender's address, as `ip:port`. */
+/** Handles a datagram; the sender's address is given as `ip:port`. */
 export type DatagramHandler = (bytes: Uint8Array, sender: string) => void;
 
-/** Opens a port whose datagrams go to `handle`. */
+/** Creates a port that passes its datagrams to `handle`. */
 export type DatagramPortFactory = (handle: DatagramHandler) => DatagramPort;
 
-/** A UDP socket as a port for datagrams. */
+/** A datagram port on a UDP socket. */
 export class DatagramSocket implements DatagramPort {
   private readonly socket: Socket = createSocket('udp4');
 
@@ -27,13 +27,13 @@
     });
   }
 
-  async start(place: string): Promise<string> {
-    const {host, port} = splitPlace(place);
+  async start(address: string): Promise<string> {
+    const {host, port} = splitPlace(address);
     await new Promise<void>((resolve, reject) => {
       this.socket.once('error', reject);
       this.socket.bind(port, host, () => {
         this.socket.removeListener('error', reject);
-        // A datagram that could not be sent is like one that was lost.
+        // A failure to send is treated as a lost datagram.
         this.socket.on('error', () => undefined);
         resolve();
       });
@@ -41,8 +41,8 @@
     return `${host}:${this.socket.address().port}`;
   }
 
-  send(bytes: Uint8Array, place: string): void {
-    const {host, port} = splitPlace(place);
+  send(bytes: Uint8Array, address: string): void {
+    const {host, port} = splitPlace(address);
     this.socket.send(bytes, port, host, () => undefined);
   }
 
--- a/packages/gateway/src/channels/endpoint_client.ts
+++ b/packages/gateway/src/channels/endpoint_client.ts
@@ -1,7 +1,7 @@
 /**
- * Sends requests to endpoints. What comes back says whether the request may
- * have reached the endpoint, as only one that has not may be sent again when
- * it must not run twice.
+ * Sends requests to endpoints. A failure states whether the request may have
+ * reached the endpoint: a request that must not run twice may be sent again
+ * only if it has not.
  */
 import {request, type ClientRequest, type IncomingMessage} from 'node:http';
 import type {SendUse} from '@irisdock/decisions';
@@ -31,59 +31,59 @@
   readHeaderLines,
 } from './header_lines.js';
 
-/** A request on its way to an endpoint. */
+/** A request to an endpoint. */
 export interface EndpointRequest {
-  /** Given by the gate for this send alone. */
+  /** Issued by the gate for this request only. */
   readonly permit: SendPermit;
-  /** The caller's request that is sent; undefined for calls of our own. */
+  /** The id of the caller's request; undefined for this host's own calls. */
   readonly requestId: string | undefined;
   readonly method: string;
-  /** Path with query, as the caller sent it. */
+  /** The path with the query, as the caller sent it. */
   readonly path: string;
   readonly lines: HeaderLines;
   readonly body: Buffer;
-  /** Ends the send; its connection is closed. */
+  /** Aborts the request and closes its connection. */
   readonly signal: AbortSignal;
 }
 
-/** The head of an answer; its body is still to be read. */
+/** The head of a response, whose body is still to be read. */
 export interface EndpointResponse {
   readonly kind: 'answer';
   readonly status: number;
   readonly metadata: ResponseMetadata;
-  /** Lines for the caller. */
+  /** The header lines for the caller. */
   readonly lines: HeaderLines;
   readonly isEventStream: boolean;
   readonly message: IncomingMessage;
-  /** Whether its body has a length or chunks, and not just an end. */
+  /** Whether the body has a length or is chunked. */
   readonly isFramed: boolean;
   /**
-   * Tells, once the body has ended, whether it is whole. A body without a
-   * length ends with its connection; one whose connection failed is cut.
+   * Whether the body, once it has ended, is complete. An unframed body ends
+   * with its connection, and is truncated if the connection failed.
    */
   isComplete(): boolean;
   /** Closes the connection. */
   close(): void;
 }
 
-/** A send without an answer that can be used. */
+/** The failure of a request that got no response. */
 export interface EndpointFailure {
   readonly kind: 'lost';
-  /** Whether the endpoint may have got the request. */
+  /** Whether the request may have reached the endpoint. */
   readonly mayHaveRun: boolean;
   readonly detail: string;
-  /** Whether nothing listens at the address. */
+  /** Whether the connection was refused, as nothing listens at the address. */
   readonly isRefused: boolean;
 }
 
-/** The status by which another endpoint at the address refuses a send. */
+/** The status of a request that reached another endpoint at the address. */
 export const MISDIRECTED_STATUS = 421;
-/** With these an endpoint that rejects a request may ask for a pause. */
+/** The statuses with which an endpoint may request a pause. */
 const PAUSE_STATUSES: ReadonlySet<number> = new Set([429, 503]);
-/** How long a connection may take to open, in ms; a live one takes a few. */
-const CONNECT_MS = 300;
+/** How long a connection may take to open; a live endpoint needs a few ms. */
+const CONNECT_TIMEOUT_MS = 300;
 
-/** Sends requests to endpoints over kept connections. */
+/** Sends requests to endpoints over persistent connections. */
 export class EndpointClient {
   private readonly agent = new EndpointAgent();
 
@@ -93,7 +93,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Asks for a permit to send; without one, nothing can be sent. */
+  /** Requests a permit, without which nothing can be sent. */
   admit(
     target: SendTarget,
     use: SendUse,
@@ -101,39 +101,39 @@
     return this.gate.admit(target, use);
   }
 
-  /** Sends a request; resolves at the head of its answer. */
+  /** Sends a request; resolves with the head of its response. */
   async send(
-    send: EndpointRequest,
+    outgoing: EndpointRequest,
   ): Promise<EndpointResponse | EndpointFailure> {
     return new Promise((resolve) => {
       let mayHaveRun = false;
-      let endReason: string | undefined;
-      const message = this.createRequest(send);
+      let failure: string | undefined;
+      const clientRequest = this.createRequest(outgoing);
       const sentAt = this.clock.getNow();
       const connectTimer = setTimeout(() => {
-        endReason = 'the connection did not open';
-        message.destroy();
-      }, CONNECT_MS);
+        failure = 'the connection did not open';
+        clientRequest.destroy();
+      }, CONNECT_TIMEOUT_MS);
       const abort = (): void => {
-        // Without an error, as a connection that was just given back to the
-        // pool would throw it where nobody listens.
-        endReason = 'the send was ended';
-        message.destroy();
+        // Destroyed without an error: if the connection was just returned to
+        // the pool, an error event would have no listener and be thrown.
+        failure = 'the send was ended';
+        clientRequest.destroy();
       };
-      message.once('socket', (socket) => {
-        const markSent = (): void => {
+      clientRequest.once('socket', (socket) => {
+        const recordConnected = (): void => {
           clearTimeout(connectTimer);
           mayHaveRun = true;
         };
-        if (socket.connecting) socket.once('connect', markSent);
-        else markSent();
+        if (socket.connecting) socket.once('connect', recordConnected);
+        else recordConnected();
       });
-      message.once('close', () => {
+      clientRequest.once('close', () => {
         clearTimeout(connectTimer);
-        send.signal.removeEventListener('abort', abort);
+        outgoing.signal.removeEventListener('abort', abort);
       });
-      message.on('error', (error) => {
-        const detail = endReason ?? getErrorText(error);
+      clientRequest.on('error', (error) => {
+        const detail = failure ?? getErrorText(error);
         resolve({
           kind: 'lost',
           mayHaveRun,
@@ -141,28 +141,28 @@
           isRefused: isRefused(error),
         });
       });
-      message.once('response', (answer) => {
-        const created = this.createAnswer(message, answer);
-        this.recordAnswer(send, created, sentAt);
-        resolve(created);
+      clientRequest.once('response', (incoming) => {
+        const response = this.createResponse(clientRequest, incoming);
+        this.reportResponse(outgoing, response, sentAt);
+        resolve(response);
       });
-      if (send.signal.aborted) abort();
-      else send.signal.addEventListener('abort', abort);
-      message.end(send.body);
+      if (outgoing.signal.aborted) abort();
+      else outgoing.signal.addEventListener('abort', abort);
+      clientRequest.end(outgoing.body);
     });
   }
 
-  /** Closes the kept connections. */
+  /** Closes the idle connections. */
   close(): void {
     this.agent.destroy();
   }
 
-  private createRequest(send: EndpointRequest): ClientRequest {
-    const lines = addFraming(dropHopByHopHeaders(send.lines), send);
+  private createRequest(outgoing: EndpointRequest): ClientRequest {
+    const lines = addFraming(dropHopByHopHeaders(outgoing.lines), outgoing);
     return request({
-      ...splitPlace(send.permit.target.address),
-      method: send.method,
-      path: send.path,
+      ...splitPlace(outgoing.permit.target.address),
+      method: outgoing.method,
+      path: outgoing.path,
       agent: this.agent,
       setHost: false,
       headers: formatRawHeaders(lines),
@@ -170,22 +170,22 @@
   }
 
   /**
-   * Tells the gate of an answer before anybody decides on its use: the endpoint
-   * has said it, whether or not a caller is still there.
+   * Reports a response to the gate before it is decided whether it can be used:
+   * its limits and pauses apply also when the caller has left.
    */
-  private recordAnswer(
+  private reportResponse(
     {permit: {target}, requestId}: EndpointRequest,
-    {metadata: terms, status}: EndpointResponse,
+    {metadata, status}: EndpointResponse,
     sentAt: number,
   ): void {
-    const {endpointId = target.endpointId, limit, isLeaving} = terms;
-    // The start that is meant did not answer.
+    const {endpointId = target.endpointId, limit, isLeaving} = metadata;
+    // The response comes from another instance than the target.
     if (endpointId !== target.endpointId) return;
     if (status === MISDIRECTED_STATUS) return;
-    const isOurs = requestId !== undefined && terms.requestId === requestId;
-    const isWell = terms.isSigned && status < MIN_SERVER_ERROR_STATUS;
-    const isTelling = isOurs && (isWell || terms.isNotRun);
-    const pause = PAUSE_STATUSES.has(status) ? terms.pause : undefined;
+    const isOurs = requestId !== undefined && metadata.requestId === requestId;
+    const isHealthy = metadata.isSigned && status < MIN_SERVER_ERROR_STATUS;
+    const isTelling = isOurs && (isHealthy || metadata.isNotRun);
+    const pause = PAUSE_STATUSES.has(status) ? metadata.pause : undefined;
     this.gate.recordAnswer({
       target,
       limit,
@@ -196,53 +196,56 @@
     });
   }
 
-  private createAnswer(
-    message: ClientRequest,
-    answer: IncomingMessage,
+  private createResponse(
+    clientRequest: ClientRequest,
+    incoming: IncomingMessage,
   ): EndpointResponse {
-    const allLines = readHeaderLines(answer);
+    const allLines = readHeaderLines(incoming);
     const type = findHeader(allLines, 'content-type') ?? '';
-    const isFramed = hasFraming(answer);
+    const isFramed = hasFraming(incoming);
     let hasFailed = false;
-    message.on('error', () => {
+    clientRequest.on('error', () => {
       hasFailed = true;
     });
-    // Whoever reads the body may have stopped; the error is not lost, as it
-    // is seen by isWhole.
-    answer.on('error', () => undefined);
-    answer.once('end', () => {
-      // The endpoint answered before it had read the whole request: what is
-      // left of the request must not be taken for the next one.
-      if (!message.writableFinished) message.destroy();
+    // The reader of the body may have stopped listening; the error still
+    // counts, as isComplete checks for it.
+    incoming.on('error', () => undefined);
+    incoming.once('end', () => {
+      // The endpoint responded before it had read the whole request: the rest
+      // of the request must not be taken for the next one on this connection.
+      if (!clientRequest.writableFinished) clientRequest.destroy();
     });
     return {
       kind: 'answer',
-      status: answer.statusCode ?? 0,
+      status: incoming.statusCode ?? 0,
       metadata: this.codec.decodeResponse(allLines),
       lines: dropHopByHopHeaders(this.codec.encodeResponse(allLines)),
       isEventStream: type.startsWith('text/event-stream'),
-      message: answer,
+      message: incoming,
       isFramed,
-      isComplete: () => answer.complete && (isFramed || !hasFailed),
+      isComplete: () => incoming.complete && (isFramed || !hasFailed),
       close: () => {
-        message.destroy();
+        clientRequest.destroy();
       },
     };
   }
 }
 
-function hasFraming(answer: IncomingMessage): boolean {
-  const {headers} = answer;
+function hasFraming(incoming: IncomingMessage): boolean {
+  const {headers} = incoming;
   return (
     headers['content-length'] !== undefined ||
     headers['transfer-encoding'] !== undefined
   );
 }
 
-/** Adds the length of the body and asks to keep the connection. */
-function addFraming(lines: HeaderLines, send: EndpointRequest): HeaderLines {
+/** Adds the headers for the body's length and for a persistent connection. */
+function addFraming(
+  lines: HeaderLines,
+  outgoing: EndpointRequest,
+): HeaderLines {
   const framed = [...lines, ['Connection', 'keep-alive'] as const];
-  const isBodiless = send.method === 'GET' || send.method === 'HEAD';
-  if (isBodiless && send.body.length === 0) return framed;
-  return [...framed, ['Content-Length', String(send.body.length)] as const];
+  const isBodiless = outgoing.method === 'GET' || outgoing.method === 'HEAD';
+  if (isBodiless && outgoing.body.length === 0) return framed;
+  return [...framed, ['Content-Length', String(outgoing.body.length)] as const];
 }
--- a/packages/gateway/src/channels/framed_port.ts
+++ b/packages/gateway/src/channels/framed_port.ts
@@ -1,16 +1,16 @@
 /**
- * A port for the datagrams of one deployment: frames what is sent, and drops
- * what another deployment sent. Drops are counted, and logged now and then, as
- * a foreign host may send for as long as it runs.
+ * A port for the datagrams of one deployment: adds the frame to what is sent,
+ * and drops datagrams of other deployments. Drops are counted and logged at a
+ * limited rate, as a host of another deployment may keep sending.
  */
 import type {Clock, Logger} from '@irisdock/kernel';
 import {PeerFrame, type DropReason} from '../model/peer_frame.js';
 import type {DatagramPort, DatagramPortFactory} from './datagram_socket.js';
 
-/** The least time between two log lines of drops, in ms. */
-const LOG_EVERY_MS = 30_000;
+/** The minimum time between two log lines about drops, in ms. */
+const MIN_LOG_INTERVAL_MS = 30_000;
 
-/** What the port works with. */
+/** Dependencies of the port. */
 export interface FramedPortParts {
   readonly deployment: string;
   readonly openDatagrams: DatagramPortFactory;
@@ -20,14 +20,14 @@
   readonly log: Logger;
 }
 
-/** The port. */
+/** A datagram port that adds and checks frames. */
 export class FramedPort implements DatagramPort {
   private readonly frame: PeerFrame;
   private readonly port: DatagramPort;
   private dropped = 0;
   private loggedAt = -Infinity;
 
-  /** @param handle Takes the payload of each datagram of the deployment. */
+  /** @param handle Handles the payload of each datagram of the deployment. */
   constructor(
     private readonly parts: FramedPortParts,
     private readonly handle: (payload: Uint8Array) => void,
@@ -38,12 +38,12 @@
     });
   }
 
-  async start(place: string): Promise<string> {
-    return this.port.start(place);
+  async start(address: string): Promise<string> {
+    return this.port.start(address);
   }
 
-  send(payload: Uint8Array, place: string): void {
-    this.port.send(this.frame.encode(payload), place);
+  send(payload: Uint8Array, address: string): void {
+    this.port.send(this.frame.encode(payload), address);
   }
 
   close(): void {
@@ -61,10 +61,10 @@
     recordDrop(reason);
     this.dropped++;
     const now = clock.getNow();
-    if (now - this.loggedAt < LOG_EVERY_MS) return;
+    if (now - this.loggedAt < MIN_LOG_INTERVAL_MS) return;
     this.loggedAt = now;
     const {dropped} = this;
-    log.writeWarning('Dropped datagrams that are not of this deployment.', {
+    log.writeWarning('Dropped datagrams from outside the deployment.', {
       reason,
       sender,
       dropped,
--- a/packages/gateway/src/channels/header_lines.ts
+++ b/packages/gateway/src/channels/header_lines.ts
@@ -1,9 +1,9 @@
-/** Header lines as they stand on the wire. */
+/** Reads, filters and formats raw HTTP header lines. */
 import type {IncomingMessage} from 'node:http';
 import type {HeaderLines} from '../model/request_metadata.js';
 
-/** Headers that concern one connection only and are never passed on. */
-const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
+/** Headers that apply to one connection only and are never forwarded. */
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'expect',
   'keep-alive',
@@ -16,33 +16,33 @@
   'upgrade',
 ]);
 
-/** Reads the header lines of a message, names as they were sent. */
+/** Reads the header lines of a message; names keep their case. */
 export function readHeaderLines(message: IncomingMessage): HeaderLines {
   const raw = message.rawHeaders;
   const lines: [string, string][] = [];
-  for (let at = 0; at + 1 < raw.length; at += 2) {
-    lines.push([raw[at] ?? '', raw[at + 1] ?? '']);
+  for (let index = 0; index + 1 < raw.length; index += 2) {
+    lines.push([raw[index] ?? '', raw[index + 1] ?? '']);
   }
   return lines;
 }
 
 /**
- * Drops what concerns one connection, and the length, as bodies are framed
- * anew on each connection.
+ * Drops the hop-by-hop headers, those that the Connection header lists
+ * included, and Content-Length, as each connection frames its bodies itself.
  */
 export function dropHopByHopHeaders(lines: HeaderLines): HeaderLines {
-  const named = listNamedByConnection(lines);
+  const options = listConnectionOptions(lines);
   const kept: (readonly [string, string])[] = [];
   for (const line of lines) {
     const name = line[0].toLowerCase();
     if (name === 'content-length') continue;
-    if (CONNECTION_HEADERS.has(name) || named.has(name)) continue;
+    if (HOP_BY_HOP_HEADERS.has(name) || options.has(name)) continue;
     kept.push(line);
   }
   return kept;
 }
 
-/** Gives the first value of a header. */
+/** Gives the first value of a header; its name is given in lower case. */
 export function findHeader(
   lines: HeaderLines,
   name: string,
@@ -53,20 +53,20 @@
   return undefined;
 }
 
-/** Gives the lines as the flat list that Node writes. */
+/** Formats the lines as the flat list of names and values that Node accepts. */
 export function formatRawHeaders(lines: HeaderLines): string[] {
   const raw: string[] = [];
   for (const [name, value] of lines) raw.push(name, value);
   return raw;
 }
 
-function listNamedByConnection(lines: HeaderLines): ReadonlySet<string> {
-  const named = new Set<string>();
+function listConnectionOptions(lines: HeaderLines): ReadonlySet<string> {
+  const options = new Set<string>();
   for (const [name, value] of lines) {
     if (name.toLowerCase() !== 'connection') continue;
     for (const token of value.split(',')) {
-      named.add(token.trim().toLowerCase());
+      options.add(token.trim().toLowerCase());
     }
   }
-  return named;
+  return options;
 }
--- a/packages/gateway/src/channels/json_client.ts
+++ b/packages/gateway/src/channels/json_client.ts
@@ -1,12 +1,12 @@
 /**
- * Short calls that carry JSON, over kept connections. A call that gets no
- * answer in time gives its connection up, as an answer may still come on it.
+ * An HTTP client for short JSON calls over persistent connections. A call that
+ * times out closes its connection, as its response may still arrive on it.
  */
 import {Agent, request, type IncomingHttpHeaders} from 'node:http';
 import {getErrorText, splitPlace} from '@irisdock/kernel';
 import {err, ok, type Result} from 'neverthrow';
 
-/** A call. */
+/** A JSON request; without a `body` it is sent with an empty one. */
 export interface JsonRequest {
   readonly method: 'DELETE' | 'GET' | 'POST' | 'PUT';
   readonly path: string;
@@ -14,25 +14,25 @@
   readonly timeoutMs: number;
 }
 
-/** An answer; `body` is empty when it is not JSON. */
+/** A response; `body` is undefined when it is not JSON. */
 export interface JsonResponse {
   readonly status: number;
   readonly body: unknown;
   readonly headers: IncomingHttpHeaders;
 }
 
-/** Makes calls to any address. */
+/** Sends JSON requests to any address. */
 export class JsonClient {
   private readonly agent = new Agent({keepAlive: true, noDelay: true});
 
-  /** Makes a call; an error says why there is no answer. */
+  /** Sends a request to `ip:port`; an error says why there is no response. */
   async send(
     address: string,
     call: JsonRequest,
   ): Promise<Result<JsonResponse, string>> {
     const body = call.body === undefined ? '' : JSON.stringify(call.body);
     return new Promise((resolve) => {
-      const message = request({
+      const clientRequest = request({
         ...splitPlace(address),
         method: call.method,
         path: call.path,
@@ -43,32 +43,32 @@
         },
       });
       const timer = setTimeout(() => {
-        message.destroy(new Error(`no answer in ${call.timeoutMs} ms`));
+        clientRequest.destroy(new Error(`no answer in ${call.timeoutMs} ms`));
       }, call.timeoutMs);
       const finish = (result: Result<JsonResponse, string>): void => {
         clearTimeout(timer);
         resolve(result);
       };
-      message.on('error', (error) => {
+      clientRequest.on('error', (error) => {
         finish(err(getErrorText(error)));
       });
-      message.on('response', (response) => {
-        const parts: Buffer[] = [];
-        response.on('data', (part: Buffer) => parts.push(part));
+      clientRequest.on('response', (response) => {
+        const chunks: Buffer[] = [];
+        response.on('data', (chunk: Buffer) => chunks.push(chunk));
         response.on('error', (error) => {
           finish(err(getErrorText(error)));
         });
         response.on('end', () => {
-          const text = Buffer.concat(parts).toString();
+          const text = Buffer.concat(chunks).toString();
           const {statusCode: status = 0, headers} = response;
           finish(ok({status, body: parseBody(text), headers}));
         });
       });
-      message.end(body);
+      clientRequest.end(body);
     });
   }
 
-  /** Closes the kept connections. */
+  /** Closes the idle connections. */
   close(): void {
     this.agent.destroy();
   }
--- a/packages/gateway/src/channels/listening.ts
+++ b/packages/gateway/src/channels/listening.ts
@@ -1,13 +1,13 @@
-/** Starts a server at a place. */
+/** Starts an HTTP server. */
 import type {Server} from 'node:http';
 import {splitPlace} from '@irisdock/kernel';
 
-/** Listens at `ip:port`; rejects when the place is taken. */
+/** Listens on `ip:port`; rejects when the address is in use. */
 export async function startListening(
   server: Server,
-  place: string,
+  address: string,
 ): Promise<void> {
-  const {host, port} = splitPlace(place);
+  const {host, port} = splitPlace(address);
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject);
     server.listen(port, host, resolve);
--- a/packages/gateway/src/channels/response_check.ts
+++ b/packages/gateway/src/channels/response_check.ts
@@ -1,25 +1,25 @@
-/** Whether an endpoint's answer is one to the request that was sent. */
+/** Checks that a response is the endpoint's own, and to the request sent. */
 import type {EndpointResponse} from './endpoint_client.js';
 import {findHeader} from './header_lines.js';
 
-/** From this status on an answer is a failure of the endpoint. */
+/** A response with this status or a higher one is a failure of the endpoint. */
 export const MIN_SERVER_ERROR_STATUS = 500;
 
-/** Names what is wrong with an answer; undefined when it can be used. */
+/** Says why a response cannot be used; undefined when it can. */
 export function findResponseFault(
-  answer: EndpointResponse,
+  response: EndpointResponse,
   requestId: string,
 ): string | undefined {
-  const {metadata: terms, status, lines} = answer;
-  if (terms.requestId !== undefined && terms.requestId !== requestId) {
+  const {metadata, status, lines} = response;
+  if (metadata.requestId !== undefined && metadata.requestId !== requestId) {
     return 'it answers another request';
   }
-  // Callers ask for plain bodies, so an encoded one is not the endpoint's.
+  // Requests ask for unencoded bodies, so an encoded one is not the endpoint's.
   if (findHeader(lines, 'content-encoding') !== undefined) {
     return 'its body is encoded';
   }
-  const isSuccess = status >= 200 && status < 300;
-  if (isSuccess && !terms.isSigned) return 'it carries no signature';
-  if (isSuccess && terms.requestId === undefined) return 'it names no request';
+  const isOk = status >= 200 && status < 300;
+  if (isOk && !metadata.isSigned) return 'it carries no signature';
+  if (isOk && metadata.requestId === undefined) return 'it names no request';
   return undefined;
 }
--- a/packages/gateway/src/errors.ts
+++ b/packages/gateway/src/errors.ts
@@ -1,7 +1,7 @@
-/** What callers of the routes are told when their request is not answered. */
+/** The error responses that callers of the routes receive from the gateway. */
 import {createErrorTable} from '@irisdock/kernel';
 
-/** Error kinds of the gateway. */
+/** The errors of the gateway, by kind. */
 export const GATEWAY_ERRORS = createErrorTable({
   no_configuration: {
     status: 503,
@@ -120,5 +120,5 @@
   },
 });
 
-/** A kind of gateway error. */
+/** The kind of a gateway error. */
 export type GatewayErrorKind = keyof typeof GATEWAY_ERRORS.kinds;
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,7 +1,7 @@
 /**
- * The program of an entry host that serves declared routes: its services, its
- * settings, its start and its planned stop. An adapter adds the services
- * `store` and `codecs` and runs it.
+ * The program of an entry host that serves declared routes: lists its services,
+ * reads its settings, and starts and stops it. An adapter adds the services
+ * `store` and `codecs` and runs the program.
  */
 import {
   createSeed,
@@ -41,7 +41,7 @@
 import {TABLES_SERVICE} from './tables/tables.js';
 import {SettingsFileWatcher} from './settings_file_watcher.js';
 
-/** The services of the gateway, without those that an adapter adds. */
+/** The services of the gateway except those that an adapter adds. */
 export const GATEWAY_SERVICES: readonly AnyServiceDefinition[] = [
   HOST_IDENTITY_SERVICE,
   TABLES_SERVICE,
@@ -66,30 +66,33 @@
     .default('info')
     .meta({
       unit: LOG_LEVELS.join('|'),
-      description: 'The least level of log lines that are written.',
+      description: 'The lowest level of the log lines that are written.',
     }),
   maxLinesPerSecond: z.coerce.number().int().min(1).default(300).meta({
     unit: 'lines/s',
-    description: 'The most log lines that are written; the rest is counted.',
+    description:
+      'The maximum rate of log lines; lines beyond it are counted and dropped.',
   }),
 });
 
-const EXIT_FAULT = 1;
+const EXIT_START_FAILED = 1;
 const EXIT_USAGE = 2;
-const EXIT_CUT = 3;
-/** Log lines that wait for a slow reader, in bytes. */
+/** The exit code when a second signal ends the planned stop. */
+const EXIT_FORCED = 3;
+/** The size of the buffer for log lines when their reader is slow. */
 const MAX_WAITING_LOG_BYTES = 1_048_576;
+/** The file descriptor of the standard output. */
 const STDOUT = 1;
 
-/** How a program is called. */
+/** The arguments and the environment of the program. */
 export interface ProgramInvocation {
   readonly args: readonly string[];
   readonly env: Readonly<Record<string, string | undefined>>;
-  /** The variable that names the settings file. */
+  /** The environment variable with the path of the settings file. */
   readonly settingsFileVariable: string;
 }
 
-/** Runs the gateway until a signal ends it. */
+/** Runs the gateway until a signal stops it. */
 export async function runGateway(
   call: ProgramInvocation,
   adapterServices: readonly AnyServiceDefinition[],
@@ -127,21 +130,21 @@
     metrics: new Registry(),
   });
   handleStopSignals(kernel, log, writer);
-  const watch = new SettingsFileWatcher(
+  const watcher = new SettingsFileWatcher(
     call.env[call.settingsFileVariable],
     clock,
     log,
     () => readSettings(call, groups).map((next) => kernel.applySettings(next)),
   );
-  // Before anything is waited for: an unhandled SIGHUP would end the process.
-  watch.start();
+  // Before the first await: an unhandled SIGHUP would end the process.
+  watcher.start();
   try {
     await kernel.start(settings);
     log.writeInfo('Started.', {pid: process.pid});
   } catch (thrown) {
     log.writeError('The start failed.', {error: getErrorText(thrown)});
     await writer.close();
-    process.exit(EXIT_FAULT);
+    process.exit(EXIT_START_FAILED);
   }
 }
 
@@ -156,7 +159,7 @@
   return [...groups, {name: 'log', schema: LOG_SETTINGS}];
 }
 
-/** Reads and checks the settings; gives all faults as sentences. */
+/** Reads and validates the settings; gives all errors, one sentence each. */
 function readSettings(
   call: ProgramInvocation,
   groups: readonly SettingsGroup[],
@@ -173,11 +176,11 @@
   log: Logger,
   writer: LineWriter,
 ): void {
-  let isLeaving = false;
+  let isStopping = false;
   const handleStop = (signal: string): void => {
-    log.writeInfo('Told to stop.', {signal, again: isLeaving});
-    if (isLeaving) process.exit(EXIT_CUT);
-    isLeaving = true;
+    log.writeInfo('Received a stop signal.', {signal, again: isStopping});
+    if (isStopping) process.exit(EXIT_FORCED);
+    isStopping = true;
     void kernel.stop().then(async () => {
       log.writeInfo('Stopped.', {});
       await writer.close();
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,4 +1,4 @@
-/** Routes requests and resumable event streams to endpoints. */
+/** The gateway: routes requests and resumable event streams to endpoints. */
 export * from './channels/json_client.js';
 export * from './channels/header_lines.js';
 export * from './errors.js';
--- a/packages/gateway/src/model/limit_datagram.ts
+++ b/packages/gateway/src/model/limit_datagram.ts
@@ -1,7 +1,7 @@
 /**
- * Datagrams about the rate limits that endpoints announce: reports of limits, and
- * requests and grants of permits to send under a limit. Times are sent as ages,
- * as the clocks of hosts differ.
+ * Datagrams about the rate limits that endpoints announce: reports of limits,
+ * and requests and grants of permits to send under a limit. Times are sent as
+ * ages, as the clocks of hosts differ.
  */
 import type {SendCounts} from '@irisdock/decisions';
 import {TupleError, type TupleReader} from './tuple_reader.js';
@@ -121,7 +121,8 @@
   const instanceId = fields.readString();
   const perSecond = fields.readOptionalNumber();
   const ageMs = fields.readNumber();
-  // A rate or an age of NaN or Infinity would admit all sends, or none ever again.
+  // A rate or an age of NaN or Infinity would admit all sends, or none ever
+  // again.
   const isValid = Number.isFinite(perSecond ?? 0) && Number.isFinite(ageMs);
   if (!isValid) throw new TupleError('a limit or its age is not finite');
   return {instanceId, perSecond, ageMs: Math.max(0, ageMs)};
--- a/packages/gateway/src/model/peer_codec.ts
+++ b/packages/gateway/src/model/peer_codec.ts
@@ -1,6 +1,7 @@
 /**
- * Encodes and decodes the datagrams between hosts. They are tuples in MessagePack
- * rather than objects in JSON, as a host handles some twenty per second.
+ * Encodes and decodes the datagrams between hosts. They are tuples in
+ * MessagePack rather than objects in JSON, as a host handles some twenty per
+ * second.
  */
 import {decode, encode} from '@msgpack/msgpack';
 import type {
@@ -49,9 +50,9 @@
 const MEMBERSHIP_KINDS = ['answer', 'notice', 'probe', 'relay'] as const;
 /**
  * The codes of the kinds, in the order of `readDatagram`: membership, usage,
- * table update, usage query and reply, unreachable endpoint, report and phase of
- * rollouts, crashes, cleared content, limits, permit request and response, lease
- * request, response and release.
+ * table update, usage query and reply, unreachable endpoint, report and phase
+ * of rollouts, crashes, cleared content, limits, permit request and response,
+ * lease request, response and release.
  */
 const KIND_CODES = [
   'w',
--- a/packages/gateway/src/model/peer_frame.ts
+++ b/packages/gateway/src/model/peer_frame.ts
@@ -1,8 +1,8 @@
 /**
- * The frame of a datagram between hosts: a header with a format version and a tag
- * of the sender's deployment. Host names, incarnations and table revisions are
- * meaningless outside their deployment, so the payload of a datagram from another
- * deployment is not decoded.
+ * The frame of a datagram between hosts: a header with a format version and a
+ * tag of the sender's deployment. Host names, incarnations and table revisions
+ * are meaningless outside their deployment, so the payload of a datagram from
+ * another deployment is not decoded.
  */
 import {createHash} from 'node:crypto';
 import {err, ok, type Result} from 'neverthrow';
--- a/packages/gateway/src/model/peer_message.ts
+++ b/packages/gateway/src/model/peer_message.ts
@@ -53,8 +53,8 @@
 }
 
 /**
- * An update of a table that a host has just read from the store: the rows changed
- * after a revision, if any, and the revision of the newest change.
+ * An update of a table that a host has just read from the store: the rows
+ * changed after a revision, if any, and the revision of the newest change.
  */
 export interface TableUpdateDatagram {
   readonly kind: 'news';
@@ -67,7 +67,7 @@
   readonly newest: number;
   /** How long ago the store was read, in ms. */
   readonly ageMs: number;
-  /** Whether it was a scheduled poll of a reader, not an extra freshness check. */
+  /** Whether it was a reader's scheduled poll, not a freshness check. */
   readonly isScheduledPoll: boolean;
   /** The address of a host that has the newest change, as `ip:port`. */
   readonly source: string;
@@ -122,7 +122,7 @@
   readonly crashes: readonly Crash[];
 }
 
-/** Reports that a request content was cleared of all crashes reported before. */
+/** Reports that the recorded crashes of a request content were cleared. */
 export interface ContentClearedDatagram {
   readonly kind: 'cleared';
   readonly content: string;
@@ -147,7 +147,7 @@
   readonly phase: RolloutPhase;
 }
 
-/** A datagram about limits and permits or leases, which one host grants others. */
+/** A datagram about limits, permits or leases, which one host grants others. */
 export type GrantDatagram =
   | LeaseResponseDatagram
   | LeaseRequestDatagram
--- a/packages/gateway/src/model/peer_tables_message.ts
+++ b/packages/gateway/src/model/peer_tables_message.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP call by which a host loads the table replicas of another host and the
- * list of hosts that it knows. The schemas name the fields of its JSON.
+ * The HTTP call by which a host loads the table replicas of another host and
+ * the list of hosts that it knows. The schemas name the fields of its JSON.
  */
 import type {ReplicaRow} from '@irisdock/decisions';
 import * as z from 'zod';
@@ -49,7 +49,7 @@
       revision: z.number(),
       /** The time since the replica was last known to be current, in ms. */
       ageMs: z.number().default(UNKNOWN_AGE_MS),
-      /** Whether these are all rows of the table and not only the changed ones. */
+      /** Whether these are all rows of the table, not only the changed ones. */
       isWhole: z.boolean(),
     }),
   ),
--- a/packages/gateway/src/model/request_metadata.ts
+++ b/packages/gateway/src/model/request_metadata.ts
@@ -1,7 +1,7 @@
 /**
  * The metadata that callers, hosts and endpoints exchange in HTTP headers, as
- * typed values. The codecs of an adapter translate it; no other code reads header
- * names.
+ * typed values. The codecs of an adapter translate it; no other code reads
+ * header names.
  */
 
 import type {NamedLimit, PauseRequest} from '@irisdock/decisions';
@@ -30,7 +30,7 @@
   readonly maxOutputTokens: number;
   /** The caller's estimate of the tokens generated; undefined without one. */
   readonly estimatedOutputTokens: number | undefined;
-  /** The parts of the prompt in order; the last belongs to this request only. */
+  /** The parts of the prompt in order; the last is not shared. */
   readonly promptParts: readonly PromptPart[];
 }
 
@@ -105,7 +105,7 @@
 
 /** The state that an engine reports. */
 export interface EngineReport {
-  /** When it started by its own clock, in ms since 1970; undefined if unknown. */
+  /** When it started by its own clock, in ms since 1970, if known. */
   readonly startMs: number | undefined;
 }
 
@@ -116,7 +116,7 @@
   decodeReport(status: number, body: string): EngineReport | undefined;
 }
 
-/** Encodes and decodes the call for the contents of an engine's prompt cache. */
+/** Encodes and decodes the call that lists an engine's prompt cache. */
 export interface PromptCacheCodec {
   /** The call for the prompt parts that an engine has cached. */
   encodeListCached(): EngineCall;
--- a/packages/gateway/src/model/rollout_order.ts
+++ b/packages/gateway/src/model/rollout_order.ts
@@ -24,7 +24,7 @@
 
 /** Translates the rows of orders and of rollout statuses. */
 export interface RolloutCodec {
-  /** Gives the service to whose orders a key belongs; undefined for other keys. */
+  /** Gives the service of an order's key; undefined for other keys. */
   findService(key: string): string | undefined;
   /** @returns The order, or why it is invalid. */
   decodeOrder(value: string): Result<RolloutOrder, string>;
--- a/packages/gateway/src/model/serving_configuration.ts
+++ b/packages/gateway/src/model/serving_configuration.ts
@@ -1,7 +1,7 @@
 /**
- * The configuration of a deployment's routes, services and teams, as declared by
- * operators. It has one version as a whole. Configurations are never merged: a
- * newer one replaces the older.
+ * The configuration of a deployment's routes, services and teams, as declared
+ * by operators. It has one version as a whole. Configurations are never merged:
+ * a newer one replaces the older.
  */
 import * as z from 'zod';
 
@@ -46,7 +46,7 @@
 export const ENGINE_SCHEMA = z.object({
   /** The number of tokens that fit into the memory of one engine. */
   memoryTokens: z.number(),
-  /** Whether the KV cache of a running request can be copied to another engine. */
+  /** Whether a running request's KV cache can be copied to another engine. */
   takesBackups: z.boolean(),
 });
 
--- a/packages/gateway/src/model/table_store.ts
+++ b/packages/gateway/src/model/table_store.ts
@@ -1,7 +1,8 @@
 /**
  * The interface of the central store: tables that can be read whole and whose
  * changes can be followed. Each row has the revision of its last change;
- * revisions come from one counter that increases with every change of the store.
+ * revisions come from one counter that increases with every change of the
+ * store.
  */
 import type {KnownError} from '@irisdock/kernel';
 import type {Result} from 'neverthrow';
@@ -15,7 +16,8 @@
 
 /**
  * The rows read from a table, and the revision after which changes must be
- * followed to miss none. Rows that changed during the read may be newer than it.
+ * followed to miss none. Rows that changed during the read may be newer than
+ * it.
  */
 export interface TableRows {
   readonly rows: readonly TableRow[];
--- a/packages/gateway/src/model/table_update.ts
+++ b/packages/gateway/src/model/table_update.ts
@@ -1,6 +1,7 @@
 /**
- * Compresses the changes of a table and splits them into parts that each fit into
- * a datagram; each part starts at the revision where the previous one ends.
+ * Compresses the changes of a table and splits them into parts that each fit
+ * into a datagram; each part starts at the revision where the previous one
+ * ends.
  */
 import {deflateRawSync, inflateRawSync} from 'node:zlib';
 import type {ReplicaRow} from '@irisdock/decisions';
--- a/packages/gateway/src/settings_file_watcher.ts
+++ b/packages/gateway/src/settings_file_watcher.ts
@@ -1,7 +1,6 @@
 /**
- * Notices that the settings file has changed, by SIGHUP or by its time of
- * change, and has it read again. A file with faults changes nothing; the
- * faults are logged, all at once.
+ * Reloads the settings file on SIGHUP or when its modification time changes. A
+ * file with errors changes no setting; all its errors are logged together.
  */
 import {stat} from 'node:fs/promises';
 import {
@@ -12,16 +11,16 @@
 } from '@irisdock/kernel';
 import type {Result} from 'neverthrow';
 
-/** The time between two looks at the file, in ms; a signal is noticed at once. */
-const LOOK_MS = 2000;
+/** The time between two checks of the modification time, in ms. */
+const POLL_INTERVAL_MS = 2000;
 
-/** Watches the settings file. */
+/** Watches the settings file and reloads it. */
 export class SettingsFileWatcher {
-  private seenChange: number | undefined;
+  private lastChangeMs: number | undefined;
 
   /**
-   * @param path The file; undefined when there is none.
-   * @param apply Reads the settings and gives them to the services.
+   * @param path The path of the file; undefined when there is none.
+   * @param apply Reads the settings and passes them to the services.
    */
   constructor(
     private readonly path: string | undefined,
@@ -30,7 +29,7 @@
     private readonly apply: () => Result<SettingsChange, string[]>,
   ) {}
 
-  /** Starts; it runs as long as the process. */
+  /** Starts to watch, until the process ends. */
   start(): void {
     process.on('SIGHUP', () => {
       this.load('signal');
@@ -39,12 +38,12 @@
   }
 
   private async run(path: string): Promise<void> {
-    this.seenChange = await this.readChangeTime(path);
+    this.lastChangeMs = await this.readChangeTime(path);
     for (;;) {
-      await this.clock.wait(LOOK_MS);
-      const changedAt = await this.readChangeTime(path);
-      if (changedAt === undefined || changedAt === this.seenChange) continue;
-      this.seenChange = changedAt;
+      await this.clock.wait(POLL_INTERVAL_MS);
+      const changeMs = await this.readChangeTime(path);
+      if (changeMs === undefined || changeMs === this.lastChangeMs) continue;
+      this.lastChangeMs = changeMs;
       this.load('file');
     }
   }
@@ -53,26 +52,26 @@
     const change = this.apply();
     if (change.isErr()) {
       const faults = change.error.join(' ');
-      this.log.writeError('The settings have faults; the old ones stay.', {
+      this.log.writeError('The settings are invalid; keeping the old ones.', {
         cause,
         faults,
       });
       return;
     }
-    this.log.writeInfo('The settings were read again.', {
+    this.log.writeInfo('Reloaded the settings.', {
       cause,
       inForce: change.value.inForce.join(', '),
       atNextStart: change.value.atNextStart.join(', '),
     });
   }
 
-  /** Gives when the file changed last; undefined when that is not known. */
+  /** Reads the modification time, in ms; undefined when that failed. */
   private async readChangeTime(path: string): Promise<number | undefined> {
     try {
       return (await stat(path)).mtimeMs;
     } catch (thrown) {
       const error = getErrorText(thrown);
-      this.log.writeWarning('The settings file is not there.', {path, error});
+      this.log.writeWarning('Cannot read the settings file.', {path, error});
       return undefined;
     }
   }
--- a/packages/gateway/src/tables/follower_options.ts
+++ b/packages/gateway/src/tables/follower_options.ts
@@ -2,7 +2,7 @@
 
 /** How often a host reads one table of the store. */
 export interface FollowerOptions {
-  /** The time between two responses to the reader hosts without changes, in ms. */
+  /** The time between two responses without changes to reader hosts, in ms. */
   readonly waitMs: number;
   /** The replica age from which this host polls the store itself, in ms. */
   readonly maxAgeMs: number;
--- a/packages/gateway/src/tables/freshness_checker.ts
+++ b/packages/gateway/src/tables/freshness_checker.ts
@@ -1,8 +1,8 @@
 /**
- * Bounds the age of this host's table replicas. When no other host has confirmed
- * a replica as current within its maximum age, this host polls the store itself
- * (`CopyCheck` decides when) and sends the result to the other hosts, so that
- * they need not poll too.
+ * Bounds the age of this host's table replicas. When no other host has
+ * confirmed a replica as current within its maximum age, this host polls the
+ * store itself (`CopyCheck` decides when) and sends the result to the other
+ * hosts, so that they need not poll too.
  */
 import {CopyCheck} from '@irisdock/decisions';
 import type {Clock, Logger, Random} from '@irisdock/kernel';
@@ -32,7 +32,7 @@
 /** Polls the store for replicas that no host has confirmed in time. */
 export class FreshnessChecker {
   private readonly closing = new AbortController();
-  /** Shared by all tables: a failure for one also delays polls for the others. */
+  /** Shared by all tables: a failure for one delays polls for the others. */
   private readonly check: CopyCheck;
 
   constructor(private readonly parts: FreshnessCheckerParts) {
--- a/packages/gateway/src/tables/peer_table_loader.ts
+++ b/packages/gateway/src/tables/peer_table_loader.ts
@@ -1,7 +1,7 @@
 /**
- * Loads table rows from other hosts: changes that another host has announced but
- * that were not received by broadcast, and, after a start, all tables together
- * with the list of hosts.
+ * Loads table rows from other hosts: changes that another host has announced
+ * but that were not received by broadcast, and, after a start, all tables
+ * together with the list of hosts.
  */
 import {
   formatRevision,
@@ -16,11 +16,11 @@
 import {REPLICATED_TABLES, type ReplicatedTable} from '../model/table_store.js';
 import type {Tables} from './tables.js';
 
-/** How long to wait for the broadcast of a change before requesting it, in ms. */
+/** How long to wait for a change's broadcast before requesting it, in ms. */
 const BROADCAST_GRACE_MS = 250;
 /**
- * How long a host may take to respond before a second one is asked too, in ms. A
- * live host responds within a few ms; an unreachable one would delay the change.
+ * How long a host may take to respond before a second one is asked too, in ms.
+ * A live host responds in a few ms; an unreachable one would delay the change.
  */
 const SECOND_SOURCE_DELAY_MS = 100;
 /** Hosts that are asked for one table at the same time. */
@@ -90,8 +90,8 @@
   }
 
   /**
-   * Loads a change at once, which the host at an address has; resolves when it is
-   * loaded or no host is left to ask.
+   * Loads a change at once, which the host at an address has; resolves when it
+   * is loaded or no host is left to ask.
    */
   async loadChange(
     table: ReplicatedTable,
@@ -153,9 +153,10 @@
   }
 
   /**
-   * Loads a table from one host, which is then dropped as a source of this table
-   * until it reports a newer revision. Otherwise a lost host that reported a high
-   * revision would be asked again and again, in place of hosts that can respond.
+   * Loads a table from one host, which is then dropped as a source of this
+   * table until it reports a newer revision. Otherwise a lost host that
+   * reported a high revision would be asked again and again, in place of hosts
+   * that can respond.
    */
   private async trySource(
     table: ReplicatedTable,
@@ -194,7 +195,7 @@
       const rows = decodeTableRows(part.rows);
       const follower = tables[part.table];
       follower.applyFromHost(rows, part.revision, part.isWhole);
-      // Counted from the request, as the response may have taken long to arrive.
+      // Counted from the request: the response may have taken long to arrive.
       const ageMs = clock.getNow() - startedAt + part.ageMs;
       follower.applyFreshness({
         newest: follower.replica.lastChange,
--- a/packages/gateway/src/tables/peer_table_source.ts
+++ b/packages/gateway/src/tables/peer_table_source.ts
@@ -14,7 +14,7 @@
 
 /** What is requested from a host. */
 export interface PeerTablesRequest {
-  /** By table, the revision after which changes are requested; -1 for all rows. */
+  /** By table, the revision after which to load changes; -1 for all rows. */
   readonly after: Partial<TableRevisions>;
   /** Whether to include the list of hosts. */
   readonly withHosts: boolean;
@@ -22,7 +22,7 @@
 
 /** Loads the tables of other hosts. */
 export interface PeerTableSource {
-  /** Loads from the host at `ip:port`; an error gives the cause of a failure. */
+  /** Loads from the host at `ip:port`; an error says why that failed. */
   load(
     address: string,
     request: PeerTablesRequest,
--- a/packages/gateway/src/tables/restore_grace_period.ts
+++ b/packages/gateway/src/tables/restore_grace_period.ts
@@ -1,7 +1,7 @@
 /**
- * The grace period after the store was restored from a backup. Writers need time
- * to write lost rows again, so missing rows do not count as deleted until the
- * table is read once more at the end of the period.
+ * The grace period after the store was restored from a backup. Writers need
+ * time to write lost rows again, so missing rows do not count as deleted until
+ * the table is read once more at the end of the period.
  */
 import {RETURN_GRACE_MS} from '@irisdock/decisions';
 import type {Clock} from '@irisdock/kernel';
--- a/packages/gateway/src/tables/store_status.ts
+++ b/packages/gateway/src/tables/store_status.ts
@@ -1,6 +1,6 @@
 /**
- * Tracks the store as seen by all hosts: which hosts read it, how old this host's
- * replicas are, and for how long endpoints that vanished from it stay in use.
+ * Tracks the store as seen by all hosts: which hosts read it, how old this
+ * host's replicas are, and how long endpoints that vanished from it stay in use.
  */
 import {
   chooseStoreReaders,
@@ -46,8 +46,8 @@
   }
 
   /**
-   * Updates this host's role from the records of the live hosts. A host without a
-   * replica of the tables reads them in any case.
+   * Updates this host's role from the records of the live hosts. A host without
+   * a replica of the tables reads them in any case.
    *
    * @param isAlone Whether this host knows no other host and no seed address.
    */
@@ -123,9 +123,9 @@
   }
 
   /**
-   * How long an entry that vanished from the store stays in use, in ms: until its
-   * endpoint had time to register again. The shortest delay of any reader counts,
-   * as a reader that reached the store throughout needs none.
+   * How long an entry that vanished from the store stays in use, in ms: until
+   * its endpoint had time to register again. The shortest delay of any reader
+   * counts, as a reader that reached the store throughout needs none.
    */
   getDepartureDelayMs(now: number): number {
     const {endpoints} = this.tables;
--- a/packages/gateway/src/tables/store_update.ts
+++ b/packages/gateway/src/tables/store_update.ts
@@ -1,10 +1,11 @@
-/** What a host reads from the store, and how fresh other hosts know it to be. */
+/** What a host reads from the store, and reports of how recent that is. */
 import type {ReaderPlace, ReplicaRow} from '@irisdock/decisions';
 
 /**
- * How a host follows the store. A reader (`ReaderPlace`) polls the store for all
- * hosts; a listener receives updates from the readers. A loader has no replica
- * yet: it reads the whole table once, then waits until the readers are known.
+ * How a host follows the store. A reader (`ReaderPlace`) polls the store for
+ * all hosts; a listener receives updates from the readers. A loader has no
+ * replica yet: it reads the whole table once, then waits until the readers are
+ * known.
  */
 export type ReaderRole = 'listener' | 'loader' | ReaderPlace;
 
--- a/packages/gateway/src/tables/table_follower.ts
+++ b/packages/gateway/src/tables/table_follower.ts
@@ -138,21 +138,17 @@
     );
   }
 
-  /**
-   * Applies another host's report on which change was the newest at what time.
-   *
-   * @returns Whether it reduced the age of this replica.
-   */
+  /** Applies another host's report; returns whether it reduced the age. */
   applyFreshness({
     newest,
     revision,
     ageMs,
-    isScheduledPoll: isTurn,
+    isScheduledPoll,
   }: FreshnessReport): boolean {
     const {replica} = this;
     if (!replica.isLoaded) return false;
     const at = this.clock.getNow() - ageMs;
-    if (isTurn) this.turns.recordTold(at);
+    if (isScheduledPoll) this.turns.recordTold(at);
     const isFresher = this.age.acceptWord({newest, at}, replica.lastChange);
     if (newest > replica.lastChange) return false;
     // The replica is complete up to this revision: later reads can start there.
@@ -162,8 +158,8 @@
   }
 
   /**
-   * Polls the store at once, whatever the role of this host. A pending call that
-   * waits for changes is left running; it may never be answered.
+   * Polls the store at once, whatever the role of this host. A pending call
+   * that waits for changes is left running; it may never be answered.
    *
    * @returns What the store returned; undefined when it did not respond.
    */
@@ -183,8 +179,8 @@
   }
 
   /**
-   * Applies an update that another host has read from the store; ignores it when
-   * changes before it are missing here. Returns whether any row was new.
+   * Applies an update that another host has read from the store; ignores it
+   * when changes before it are missing here. Returns whether any row was new.
    */
   applyUpdate(
     rows: readonly ReplicaRow[],
@@ -223,7 +219,7 @@
     this.resumeReading = undefined;
   }
 
-  /** Makes one call; returns the least time from its start to the next, in ms. */
+  /** Makes one call; returns the minimum interval to the next one, in ms. */
   private async readOnce(): Promise<number> {
     const {replica, store, table} = this;
     const isWhole = this.mustReload || !replica.isLoaded;
@@ -244,7 +240,7 @@
     const hasChanged = result.value.rows.length > 0;
     // Also when another reader reported it first: all calls return at once.
     if (hasChanged) this.turns.startAnew(this.paceMs);
-    // A store that does not wait as requested must not be polled in a busy loop.
+    // A store that does not wait as requested is not polled in a busy loop.
     const hasWaited = now - startedAt >= waitMs / 2;
     return hasChanged || !hasWaited ? this.paceMs : 0;
   }
@@ -270,8 +266,8 @@
 
   private applyWholeTable({rows, revision}: TableRows): number {
     const {replica} = this;
-    // A stale table is read again, unless another host's rows arrive before. Mere
-    // changes during the read are no reason: the table may keep changing.
+    // A stale table is read again, unless another host's rows arrive before.
+    // Mere changes during the read are no reason: the table may keep changing.
     const isStale = replica.isLoaded && revision < replica.revision;
     if (isStale) this.tableLog.writeStaleRead(revision, replica.revision);
     else this.mustReload = false;
@@ -285,9 +281,9 @@
   }
 
   /**
-   * Applies a whole table. In the grace period after a restore, missing rows are
-   * kept and deleted rows stay deleted; a read of the whole table at its end
-   * settles which rows exist.
+   * Applies a whole table. In the grace period after a restore, missing rows
+   * are kept and deleted rows stay deleted; a read of the whole table at its
+   * end settles which rows exist.
    */
   private applyTable(
     rows: readonly ReplicaRow[],
@@ -305,15 +301,18 @@
     return replica.applyRestored(rows, revision);
   }
 
-  /** Whether a revision is the first one seen here since the store's restore. */
+  /**
+   * Whether a revision is the first one seen here since the store's restore.
+   */
   private isFirstOfEra(revision: number): boolean {
     const {replica} = this;
     return replica.isLoaded && getEra(revision) > getEra(replica.revision);
   }
 
   /**
-   * Applies rows or a revision; returns whether a row changed. The first revision
-   * after a restore starts the grace period, whichever source it comes from.
+   * Applies rows or a revision; returns whether a row changed. The first
+   * revision after a restore starts the grace period, whichever source it comes
+   * from.
    */
   private apply(
     revision: number,
--- a/packages/gateway/src/tables/update_broadcaster.ts
+++ b/packages/gateway/src/tables/update_broadcaster.ts
@@ -6,10 +6,10 @@
  * the host that read it, 44 of them in other domains, instead of 194 and 162 (a
  * test counts them).
  *
- * An update whose rows do not fit into a datagram is sent without rows, with the
- * address of a host that has them. Receivers that lack the rows request them at
- * once; a relay passes the update on after it has loaded them itself, so that
- * the hosts of its group load them from the relay.
+ * An update whose rows do not fit into a datagram is sent without rows, with
+ * the address of a host that has them. Receivers that lack the rows request
+ * them at once; a relay passes the update on after it has loaded them itself,
+ * so that the hosts of its group load them from the relay.
  */
 import type {KnownHost, ReplicaRow} from '@irisdock/decisions';
 import type {Clock, Logger} from '@irisdock/kernel';
--- a/packages/gateway/tests/change_in_time.test.ts
+++ b/packages/gateway/tests/change_in_time.test.ts
@@ -1,13 +1,13 @@
 /**
- * A confirmed change of the configuration is in force within the promised time on
- * every host that reaches the store, whatever happens to the reader hosts.
+ * A confirmed change of the configuration is in force within the promised time
+ * on every host that reaches the store, whatever happens to the reader hosts.
  *
- * Guards against hosts that serve an old configuration for over two seconds after
- * a newer one was confirmed. This happens when the store stops responding to the
- * three readers: each notices only when its call times out (wait plus time-out,
- * 2 s for the first reader, 3.5 s for the others), no other host polls the store,
- * and nothing bounds the age of the replicas. The last of the other hosts then
- * had the change after 2377 ms at 8 hosts and 2919 ms at 60.
+ * Guards against hosts that serve an old configuration for over two seconds
+ * after a newer one was confirmed. This happens when the store stops responding
+ * to the three readers: each notices only when its call times out (wait plus
+ * time-out, 2 s for the first reader, 3.5 s for the others), no other host
+ * polls the store, and nothing bounds the age of the replicas. The last of the
+ * other hosts then had the change after 2377 ms at 8 hosts and 2919 ms at 60.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
@@ -26,7 +26,10 @@
   readonly domains: number;
 }
 
-/** The size at which the failure was observed, and one at which hosts form groups. */
+/**
+ * The size at which the failure was observed, and one at which hosts form
+ * groups.
+ */
 const SIZES: readonly FleetSize[] = [
   {hosts: 8, domains: 4},
   {hosts: 60, domains: 6},
@@ -38,7 +41,9 @@
   return fleet;
 }
 
-/** Gives the longest delay of any of the versions on any of the hosts, in ms. */
+/**
+ * Gives the longest delay of any of the versions on any of the hosts, in ms.
+ */
 function getMaxDelayMs(
   fleet: TableFleet,
   versions: readonly number[],
@@ -60,8 +65,9 @@
       /*
        * The row of a configuration does not fit into a datagram, so its changes
        * cannot be broadcast with their rows. If they were not announced either,
-       * each host would wait for another's heartbeat, the 250 ms of grace and its
-       * own next heartbeat: at 60 hosts the last one had a change after 1.3 s.
+       * each host would wait for another's heartbeat, the 250 ms of grace and
+       * its own next heartbeat: at 60 hosts the last one had a change after 1.3
+       * s.
        */
       it('is in force at once while nothing is wrong', async () => {
         const fleet = await createFleet(size, seed);
@@ -77,8 +83,8 @@
       });
 
       /*
-       * A host that is partitioned from all others, but not from the store, must
-       * not rely on the readers until it notices the partition.
+       * A host that is partitioned from all others, but not from the store,
+       * must not rely on the readers until it notices the partition.
        */
       it('is in force in time on a host that hears no other one', async () => {
         const fleet = await createFleet(size, seed);
@@ -120,8 +126,8 @@
 }
 
 /*
- * Guards against a host that becomes the first reader as soon as the others hear
- * of it: until it has loaded a replica, it cannot read the store for them.
+ * Guards against a host that becomes the first reader as soon as the others
+ * hear of it: until it has loaded a replica, it cannot read the store for them.
  */
 describe('a host that starts', () => {
   it('takes no place among the readers before it has a replica', async () => {
@@ -145,8 +151,8 @@
 });
 
 /*
- * A row that is written again with the same value raises the revision on the host
- * that read it. If it were not broadcast, the next update would start at a
+ * A row that is written again with the same value raises the revision on the
+ * host that read it. If it were not broadcast, the next update would start at a
  * revision that no other host has, and each of them would have to load it.
  */
 describe('a row that is written again with the same value', () => {
@@ -167,9 +173,9 @@
 });
 
 /*
- * When the polls of the readers return close together, 1.4 s pass in which nobody
- * confirms the replicas, and other hosts poll the store too: up to 13 of them
- * each 2.1 s.
+ * When the polls of the readers return close together, 1.4 s pass in which
+ * nobody confirms the replicas, and other hosts poll the store too: up to 13 of
+ * them each 2.1 s.
  */
 describe('hosts at rest', () => {
   const REST_MS = 30_000;
--- a/packages/gateway/tests/peer_table_loader.test.ts
+++ b/packages/gateway/tests/peer_table_loader.test.ts
@@ -1,11 +1,11 @@
 /**
- * A host that knows of a newer change loads it from a host that has it, also when
- * other hosts that reported newer changes are lost.
+ * A host that knows of a newer change loads it from a host that has it, also
+ * when other hosts that reported newer changes are lost.
  *
  * Guards against a loader that remembers only one source and asks one host at a
  * time: a lost host that last reported a change of a rarely changing table was
- * then asked again and again (11 times, 0.8 s each), while the host that had the
- * new configuration was not asked.
+ * then asked again and again (11 times, 0.8 s each), while the host that had
+ * the new configuration was not asked.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
--- a/packages/gateway/tests/table_follower.test.ts
+++ b/packages/gateway/tests/table_follower.test.ts
@@ -99,10 +99,10 @@
 });
 
 /*
- * Guards against a busy loop. Readers shift their polls by fractions of a ms, and
- * a store that takes a fractional wait as none responds at once: 36,939 calls in
- * 46 s, where 449 are usual. A store that does not wait, for whatever reason,
- * must not be polled continuously.
+ * Guards against a busy loop. Readers shift their polls by fractions of a ms,
+ * and a store that takes a fractional wait as none responds at once: 36,939
+ * calls in 46 s, where 449 are usual. A store that does not wait, for whatever
+ * reason, must not be polled continuously.
  */
 describe('a store that responds at once without a change', () => {
   const REST_MS = 10_000;
