--- a/bench/src/benches/fairness.ts
+++ b/bench/src/benches/fairness.ts
@@ -4,7 +4,7 @@
  * the naive queue, with the same arrivals.
  */
 import {SeededRandom} from '@irisdock/kernel';
-import {FairQueue, NaiveQueue, type Waiter} from '@irisdock/decisions';
+import {FairQueue, NaiveQueue, type QueuedRequest} from '@irisdock/decisions';
 import {createBench, type ResultRow} from '../bench.js';
 import {computeFairness, computeSpread, formatNumber} from '../statistics.js';
 
@@ -19,8 +19,8 @@
 
 interface Queue {
   readonly size: number;
-  offer(waiter: Waiter): {outcome: string; pushedOut?: Waiter};
-  take(): Waiter | undefined;
+  offer(waiter: QueuedRequest): {outcome: string; evicted?: QueuedRequest};
+  take(): QueuedRequest | undefined;
 }
 
 interface Arrival {
--- a/bench/src/standin_hosts.ts
+++ b/bench/src/standin_hosts.ts
@@ -8,7 +8,7 @@
 import {
   hashText,
   type HostRecord,
-  type WatchMessage,
+  type GossipMessage,
 } from '@irisdock/decisions';
 import {
   decodePeerDatagram,
@@ -121,13 +121,13 @@
     asker: string | undefined,
   ): void {
     const ownHash = this.own === undefined ? 0 : hashRecord(this.own);
-    const watch: WatchMessage<PeerPlace> = {
+    const watch: GossipMessage<PeerPlace> = {
       kind,
       sender: record,
       place: kind === 'probe' ? place : undefined,
       asker,
       target: undefined,
-      changes: [],
+      updates: [],
       recordsHash: (this.hashSum + ownHash) >>> 0,
     };
     const revisions = {configuration: 1, endpoints: 1, crashes: 0};
--- a/packages/daemon/src/answer/answer_leg.ts
+++ b/packages/daemon/src/answer/answer_leg.ts
@@ -7,7 +7,7 @@
   AnswerAssembler,
   LossKind,
   StallBounds,
-  Verdict,
+  AssemblyDecision,
 } from '@irisdock/decisions';
 import type {
   EndpointErrorKind,
@@ -193,7 +193,7 @@
     if (event.type === 'superseded') {
       return {kind: 'lost', loss: 'superseded'};
     }
-    const verdict: Verdict =
+    const verdict: AssemblyDecision =
       event.type === 'token'
         ? assembler.acceptToken(event)
         : assembler.acceptEnd(event);
--- a/packages/daemon/src/answer/engine_chooser.ts
+++ b/packages/daemon/src/answer/engine_chooser.ts
@@ -45,13 +45,13 @@
       records.map((record) => record.getView()),
       {
         blockCount: blocks.length,
-        avoid: options.avoid,
+        avoidAddresses: options.avoid,
         mayRetryLost: !options.resuming,
         avoidDomains: options.resuming
           ? listLostDomains(records)
           : new Set<string>(),
         preferDomains: placement.preferred,
-        fullAt: options.resuming ? FULL_AT_RESUMING : FULL_AT,
+        maxLoad: options.resuming ? FULL_AT_RESUMING : FULL_AT,
       },
       (address) => this.directory.prefixes.countHits(address, blocks),
       this.random,
--- a/packages/daemon/src/answer/record_finder.ts
+++ b/packages/daemon/src/answer/record_finder.ts
@@ -4,7 +4,7 @@
  */
 import type {Clock, KnownError, Random} from '@irisdock/kernel';
 import {
-  getTakeover,
+  getTakeoverCount,
   isRecordFit,
   type ReadId,
   type ResumeData,
@@ -118,7 +118,7 @@
     const text = fromOffset === 0 ? '' : ask.receivedText;
     const record = this.createRecord(request, fromOffset, text);
     record.mayHaveRun = true;
-    const before = getTakeover(resumeData?.generation ?? 0);
+    const before = getTakeoverCount(resumeData?.generation ?? 0);
     record.takeover = Math.max(before, kept?.takeover ?? 0) + 1;
     record.endpoint = resumeData?.endpoint ?? '';
     // Its driver, should it still run, gives to a connection that was left.
--- a/packages/daemon/src/endpoint/endpoint_record.ts
+++ b/packages/daemon/src/endpoint/endpoint_record.ts
@@ -144,11 +144,11 @@
     return {
       address: this.address,
       failureDomain: this.failureDomain,
-      answering: this.isAnswering,
+      isAnswering: this.isAnswering,
       isQuiet: this.isQuiet,
       lossRate: this.lossRate,
       slots: report?.slots ?? 1,
-      reported: (report?.running ?? 0) + (report?.queued ?? 0),
+      reportedLoad: (report?.running ?? 0) + (report?.queued ?? 0),
       sentSinceReport,
       inFlight: this.inFlight,
     };
--- a/packages/daemon/src/operator/resource_routes.ts
+++ b/packages/daemon/src/operator/resource_routes.ts
@@ -185,7 +185,7 @@
         const data = JSON.stringify(change);
         response.write(formatEvent({id: change.revision, data}));
       }
-      if (last < this.configuration.reader.logStart) break;
+      if (last < this.configuration.reader.logStartRevision) break;
       if (batches.length === 0) response.write(': ping\n\n');
       batches = await queue.takeAll(WATCH_PING_MS, signal);
     }
--- a/packages/daemon/src/operator/status_route.ts
+++ b/packages/daemon/src/operator/status_route.ts
@@ -59,7 +59,7 @@
           failureDomain: record.failureDomain,
           answering: record.isAnswering,
           leaving: record.isLeaving,
-          running: view.reported,
+          running: view.reportedLoad,
           slots: view.slots,
           inFlightHere: view.inFlight,
           models: record.loaded.models,
--- a/packages/daemon/src/services/admission.ts
+++ b/packages/daemon/src/services/admission.ts
@@ -15,7 +15,7 @@
   DECISION_ERRORS,
   FairQueue,
   WaitEstimate,
-  type Waiter,
+  type QueuedRequest,
 } from '@irisdock/decisions';
 import {err, ok, type Result} from 'neverthrow';
 import {Counter, Gauge, Histogram} from 'prom-client';
@@ -205,11 +205,11 @@
       return;
     }
     this.addWaiting(gate, waiting, now);
-    if (offer.pushedOut === undefined) return;
+    if (offer.evicted === undefined) return;
     const retry = this.computeRetry(gate, 1000);
-    const data = {service, team: offer.pushedOut.team};
+    const data = {service, team: offer.evicted.team};
     const error = DECISION_ERRORS.create('pushed_out', data, retry);
-    this.refuse(gate, offer.pushedOut, error);
+    this.refuse(gate, offer.evicted, error);
   }
 
   private addWaiting(gate: Gate, waiting: Waiting, now: number): void {
@@ -263,7 +263,7 @@
     return {endpoint, end};
   }
 
-  private refuse(gate: Gate, waiter: Waiter, error: KnownError): void {
+  private refuse(gate: Gate, waiter: QueuedRequest, error: KnownError): void {
     const waiting = gate.waiting.get(waiter.id);
     gate.waiting.delete(waiter.id);
     if (waiting === undefined) return;
@@ -338,7 +338,7 @@
   },
 });
 
-function createWaiter(entry: AdmissionEntry, now: number): Waiter {
+function createWaiter(entry: AdmissionEntry, now: number): QueuedRequest {
   const {id, team, weight, cost, maxQueueMs} = entry;
   return {id, team, weight, cost, deadlineAt: now + maxQueueMs};
 }
--- a/packages/daemon/src/services/archive.ts
+++ b/packages/daemon/src/services/archive.ts
@@ -12,7 +12,7 @@
   Repeater,
   type Logger,
 } from '@irisdock/kernel';
-import {chooseDutyHosts} from '@irisdock/decisions';
+import {chooseLeaderCandidates} from '@irisdock/decisions';
 import type {ObjectStore, TableService} from '@irisdock/storage';
 import type {Change} from '@irisdock/resources';
 import {Gauge} from 'prom-client';
@@ -72,7 +72,7 @@
   private isFirst(): boolean {
     const {membership, host} = this.parts;
     const serving = membership.view.listServing().map((note) => note.hostId);
-    return chooseDutyHosts(DUTY, serving, 1).includes(host.hostId);
+    return chooseLeaderCandidates(DUTY, serving, 1).includes(host.hostId);
   }
 
   private async saveBatch(from: number, version: number): Promise<void> {
--- a/packages/daemon/src/services/orders.ts
+++ b/packages/daemon/src/services/orders.ts
@@ -12,7 +12,7 @@
   type Logger,
 } from '@irisdock/kernel';
 import {
-  chooseDutyHosts,
+  chooseLeaderCandidates,
   LEASE_TIMES,
   LeaseState,
   planOrders,
@@ -82,7 +82,7 @@
   private isCandidate(): boolean {
     const {membership, host} = this.parts;
     const serving = membership.view.listServing().map((note) => note.hostId);
-    const candidates = chooseDutyHosts(LEASE_NAME, serving, CANDIDATES);
+    const candidates = chooseLeaderCandidates(LEASE_NAME, serving, CANDIDATES);
     return candidates.includes(host.hostId);
   }
 
--- a/packages/daemon/src/services/plain_calls.ts
+++ b/packages/daemon/src/services/plain_calls.ts
@@ -202,11 +202,11 @@
       records.map((record) => record.getView()),
       {
         blockCount: 0,
-        avoid,
+        avoidAddresses: avoid,
         mayRetryLost: true,
         avoidDomains: new Set(),
         preferDomains: placement.preferred,
-        fullAt: FULL_AT,
+        maxLoad: FULL_AT,
       },
       NO_PREFIX,
       random,
--- a/packages/decisions/src/address_answer.ts
+++ b/packages/decisions/src/address_answer.ts
@@ -9,27 +9,27 @@
 import type {MemberNote} from './member.js';
 
 /** How many hosts an answer lists. */
-export interface AnswerSize {
-  readonly most: number;
+export interface AnswerLimits {
+  readonly maxHosts: number;
   /** Hosts of other failure domains that are listed at least. */
-  readonly leastFar: number;
+  readonly minOtherDomain: number;
   /** Hosts that are listed at least, if so many serve. */
-  readonly least: number;
+  readonly minHosts: number;
 }
 
 /** One address of the answer. */
-export interface AnsweredAddress {
+export interface ListedAddress {
   readonly address: string;
   readonly failureDomain: string;
 }
 
 /** What a caller is told. */
 export interface AddressAnswer {
-  readonly addresses: readonly AnsweredAddress[];
+  readonly addresses: readonly ListedAddress[];
   readonly keepForSeconds: number;
 }
 
-const SIZE: AnswerSize = {most: 4, leastFar: 1, least: 4};
+const SIZE: AnswerLimits = {maxHosts: 4, minOtherDomain: 1, minHosts: 4};
 const SPREAD_STEPS = 1000;
 
 /**
@@ -41,7 +41,7 @@
 export function chooseHosts<H extends {readonly failureDomain: string}>(
   serving: readonly H[],
   callerDomain: string | undefined,
-  size: AnswerSize,
+  size: AnswerLimits,
   random: Random,
 ): H[] {
   const shuffled = getShuffled(serving, random);
@@ -49,9 +49,9 @@
   const far = shuffled.filter((host) => host.failureDomain !== callerDomain);
   const nearCount = Math.min(
     near.length,
-    size.most - Math.min(size.leastFar, far.length),
+    size.maxHosts - Math.min(size.minOtherDomain, far.length),
   );
-  const farCount = Math.max(size.leastFar, size.least - nearCount);
+  const farCount = Math.max(size.minOtherDomain, size.minHosts - nearCount);
   return [...near.slice(0, nearCount), ...far.slice(0, farCount)];
 }
 
--- a/packages/decisions/src/answer_assembler.ts
+++ b/packages/decisions/src/answer_assembler.ts
@@ -23,16 +23,16 @@
 }
 
 /** Why something was dropped. */
-export type DropReason = 'after_end' | 'crossed' | 'repeated' | 'stale';
+export type TokenDropReason = 'after_end' | 'crossed' | 'repeated' | 'stale';
 
 /** What to do with what came from an engine. */
-export type Verdict =
-  | {readonly action: 'drop'; readonly reason: DropReason}
+export type AssemblyDecision =
+  | {readonly action: 'drop'; readonly reason: TokenDropReason}
   | {readonly action: 'end'; readonly reason: string}
   | {readonly action: 'lost'; readonly reason: 'gap'}
   | {readonly action: 'pass'; readonly offset: number; readonly text: string};
 
-const GAP: Verdict = {action: 'lost', reason: 'gap'};
+const GAP: AssemblyDecision = {action: 'lost', reason: 'gap'};
 
 /** Assembles one answer. */
 export class AnswerAssembler {
@@ -50,7 +50,7 @@
   }
 
   /** Whether the answer is whole. */
-  get isEnded(): boolean {
+  get isComplete(): boolean {
     return this.ended;
   }
 
@@ -60,7 +60,7 @@
   }
 
   /** Decides on a token. */
-  acceptToken(token: Token): Verdict {
+  acceptToken(token: Token): AssemblyDecision {
     const drop = this.findDrop(token);
     if (drop !== undefined) return {action: 'drop', reason: drop};
     if (token.offset < this.next) return {action: 'drop', reason: 'repeated'};
@@ -70,7 +70,7 @@
   }
 
   /** Decides on an end; an end before the last token is a loss. */
-  acceptEnd(end: GenerationEnd): Verdict {
+  acceptEnd(end: GenerationEnd): AssemblyDecision {
     const drop = this.findDrop(end);
     if (drop !== undefined) return {action: 'drop', reason: drop};
     if (end.count !== this.next) return GAP;
@@ -81,7 +81,7 @@
   private findDrop(item: {
     readonly request: string;
     readonly generation: number;
-  }): DropReason | undefined {
+  }): TokenDropReason | undefined {
     if (item.request !== this.request) return 'crossed';
     if (item.generation !== this.generation) return 'stale';
     return this.ended ? 'after_end' : undefined;
--- a/packages/decisions/src/configuration_state.ts
+++ b/packages/decisions/src/configuration_state.ts
@@ -12,7 +12,7 @@
 } from '@irisdock/resources';
 
 /** What became of a change or snapshot that was offered. */
-export type Applied = 'applied' | 'gap' | 'old';
+export type ApplyResult = 'applied' | 'gap' | 'old';
 
 /** Resources at a revision. */
 export class ConfigurationState implements ResourceReader {
@@ -28,12 +28,12 @@
   }
 
   /** The revision after which all changes are still known. */
-  get logStart(): number {
+  get logStartRevision(): number {
     return (this.log[0]?.revision ?? this.current + 1) - 1;
   }
 
   /** Applies the change when it is the next one. */
-  applyChange(change: Change): Applied {
+  applyChange(change: Change): ApplyResult {
     if (change.revision <= this.current) return 'old';
     if (change.revision !== this.current + 1) return 'gap';
     this.current = change.revision;
@@ -46,7 +46,7 @@
   }
 
   /** Takes a snapshot in place of everything when it is newer. */
-  applySnapshot(snapshot: Snapshot): Applied {
+  applySnapshot(snapshot: Snapshot): ApplyResult {
     if (snapshot.revision <= this.current) return 'old';
     this.resources.clear();
     for (const resource of snapshot.resources) {
@@ -67,8 +67,8 @@
 
   /** Gives the changes after a revision; undefined when some are forgotten. */
   getChangesAfter(revision: number): readonly Change[] | undefined {
-    if (revision < this.logStart) return undefined;
-    return this.log.slice(Math.max(0, revision - this.logStart));
+    if (revision < this.logStartRevision) return undefined;
+    return this.log.slice(Math.max(0, revision - this.logStartRevision));
   }
 
   get(kind: KindName, name: string): Resource | undefined {
--- a/packages/decisions/src/crash_ledger.ts
+++ b/packages/decisions/src/crash_ledger.ts
@@ -20,12 +20,12 @@
  */
 
 /** Crashes that count before a content is refused. */
-export const REFUSED_FROM = 3;
+export const REFUSAL_THRESHOLD = 3;
 /**
  * Crashes from which on a content is refused whatever ran beside it: the three
  * runs that the users' rules allow after the third crash.
  */
-export const MOST_CRASHES = 6;
+export const MAX_CRASHES = 6;
 /** Crashes from which on a content is a suspect to what ran beside it. */
 const SUSPECT_FROM = 2;
 /** What a crash counts beside a content that is as suspect. */
@@ -57,7 +57,7 @@
 }
 
 /** A content that is remembered. */
-export interface KnownContent {
+export interface ContentCrashes {
   readonly content: string;
   /** The starts of the endpoints that ended, in the order of learning. */
   readonly instanceIds: readonly string[];
@@ -99,7 +99,7 @@
     };
     const {instanceIds} = entry;
     if (instanceIds.has(instanceId)) return false;
-    if (instanceIds.size >= MOST_CRASHES) return false;
+    if (instanceIds.size >= MAX_CRASHES) return false;
     instanceIds.add(instanceId);
     entry.lastAt = now;
     this.entries.delete(content);
@@ -115,15 +115,15 @@
     const entry = this.entries.get(content);
     if (entry === undefined) return 'clear';
     const {size} = entry.instanceIds;
-    if (size >= MOST_CRASHES) return 'refused';
-    if (size < REFUSED_FROM) return 'suspected';
+    if (size >= MAX_CRASHES) return 'refused';
+    if (size < REFUSAL_THRESHOLD) return 'suspected';
     const suspicion = this.computeSuspicion(content);
     if (suspicion.unshared === 0) return 'suspected';
     let counted = 0;
     for (const instanceId of entry.instanceIds) {
       counted += this.computeWeight(content, suspicion, instanceId);
     }
-    return counted >= REFUSED_FROM ? 'refused' : 'suspected';
+    return counted >= REFUSAL_THRESHOLD ? 'refused' : 'suspected';
   }
 
   /** Whether a start of an endpoint ended while it ran a known content. */
@@ -143,7 +143,7 @@
   }
 
   /** Lists all contents that are remembered. */
-  listContents(): KnownContent[] {
+  listContents(): ContentCrashes[] {
     return [...this.entries].map(([content, {instanceIds, lastAt}]) => ({
       content,
       instanceIds: [...instanceIds],
--- a/packages/decisions/src/endpoint_choice.ts
+++ b/packages/decisions/src/endpoint_choice.ts
@@ -12,14 +12,14 @@
   readonly address: string;
   readonly failureDomain: string;
   /** Whether the last look found it answering. */
-  readonly answering: boolean;
+  readonly isAnswering: boolean;
   /** Whether a stream there was silent of late, though it answers. */
   readonly isQuiet: boolean;
   /** The part of its recent streams that was lost, from 0 to 1. */
   readonly lossRate: number;
   readonly slots: number;
   /** Running and waiting by its own last report. */
-  readonly reported: number;
+  readonly reportedLoad: number;
   /** What this host sent less what ended here since that report. */
   readonly sentSinceReport: number;
   /** What this host has in flight there. */
@@ -31,7 +31,7 @@
   /** Blocks of the prompt, for prefix hints. */
   readonly blockCount: number;
   /** Endpoints that just failed this request. */
-  readonly avoid: ReadonlySet<string>;
+  readonly avoidAddresses: ReadonlySet<string>;
   /** Whether one that failed it may be tried again before it answers. */
   readonly mayRetryLost: boolean;
   /** Failure domains to keep away from while others have room. */
@@ -39,11 +39,11 @@
   /** Failure domains to prefer; empty for none. */
   readonly preferDomains: ReadonlySet<string>;
   /** The load, as a part of the slots, from which there is no room. */
-  readonly fullAt: number;
+  readonly maxLoad: number;
 }
 
 /** Gives the leading blocks that an endpoint probably has. */
-export type CountHits = (address: string) => number;
+export type CountPrefixHits = (address: string) => number;
 
 const LOSS_WEIGHT = 3;
 const HIT_WEIGHT = 0.5;
@@ -54,12 +54,12 @@
 export function chooseEndpoint(
   endpoints: readonly EndpointView[],
   request: ChoiceRequest,
-  countHits: CountHits,
+  countHits: CountPrefixHits,
   random: Random,
 ): EndpointView | undefined {
   const usable = findUsable(endpoints, request);
   const withRoom = findLively(
-    usable.filter((e) => getLoad(e) < request.fullAt),
+    usable.filter((e) => getLoad(e) < request.maxLoad),
   );
   const candidates = chooseCandidates(withRoom, request, countHits, random);
   let best: EndpointView | undefined;
@@ -75,7 +75,7 @@
 
 /** Gives an endpoint's load as a part of its slots. */
 export function getLoad(endpoint: EndpointView): number {
-  const known = endpoint.reported + endpoint.sentSinceReport;
+  const known = endpoint.reportedLoad + endpoint.sentSinceReport;
   return Math.max(known, endpoint.inFlight) / Math.max(1, endpoint.slots);
 }
 
@@ -88,9 +88,9 @@
   endpoints: readonly EndpointView[],
   request: ChoiceRequest,
 ): readonly EndpointView[] {
-  const answering = endpoints.filter((e) => e.answering);
+  const answering = endpoints.filter((e) => e.isAnswering);
   const pool = answering.length > 0 ? answering : endpoints;
-  const fresh = pool.filter((e) => !request.avoid.has(e.address));
+  const fresh = pool.filter((e) => !request.avoidAddresses.has(e.address));
   if (fresh.length > 0) return fresh;
   return request.mayRetryLost ? pool : answering;
 }
@@ -104,7 +104,7 @@
 function chooseCandidates(
   endpoints: readonly EndpointView[],
   request: ChoiceRequest,
-  countHits: CountHits,
+  countHits: CountPrefixHits,
   random: Random,
 ): EndpointView[] {
   if (endpoints.length <= 2) return [...endpoints];
@@ -118,7 +118,7 @@
 
 function findHolder(
   endpoints: readonly EndpointView[],
-  countHits: CountHits,
+  countHits: CountPrefixHits,
 ): EndpointView | undefined {
   let holder: EndpointView | undefined;
   let most = 0;
@@ -136,7 +136,7 @@
 function computeScore(
   endpoint: EndpointView,
   request: ChoiceRequest,
-  countHits: CountHits,
+  countHits: CountPrefixHits,
 ): number {
   const {blockCount} = request;
   const hits = blockCount === 0 ? 0 : countHits(endpoint.address) / blockCount;
--- a/packages/decisions/src/engine_placement.ts
+++ b/packages/decisions/src/engine_placement.ts
@@ -39,7 +39,7 @@
 /** What a stream asks of an engine. */
 export interface EngineRequest {
   /** Tokens that the stream will take in memory. */
-  readonly tokens: number;
+  readonly expectedTokens: number;
   /** Tokens of its prompt; 0 when that is not known. */
   readonly promptTokens: number;
   /** Engines that have failed this stream. */
@@ -105,7 +105,7 @@
   }
   const isFull =
     engine.streams >= engine.slots ||
-    engine.expectedTokens + request.tokens > engine.memoryTokens;
+    engine.expectedTokens + request.expectedTokens > engine.memoryTokens;
   return isFull ? cost + NO_ROOM_COST_PROMPTS * promptTokens : cost;
 }
 
@@ -115,7 +115,7 @@
  *
  * @param primary The engine that runs the stream.
  */
-export function chooseBackup<V extends EngineView>(
+export function chooseBackupEngine<V extends EngineView>(
   engines: Iterable<V>,
   primary: EngineView,
   request: EngineRequest,
@@ -124,7 +124,7 @@
   for (const engine of engines) {
     if (engine.failureDomain === primary.failureDomain) continue;
     if (engine.failureScore > 0) continue;
-    const filled = engine.expectedTokens + request.tokens;
+    const filled = engine.expectedTokens + request.expectedTokens;
     if (filled > engine.memoryTokens * BACKUP_FILL) continue;
     candidates.push(engine);
   }
@@ -146,7 +146,7 @@
 const FAR_ENGINES = {beside: 3, alone: 4} as const;
 
 /** Decides how many engines beside the home engines are looked at. */
-export function decideFarCount(
+export function decideRemoteEngineCount(
   homeEngines: readonly EngineView[],
   request: EngineRequest,
 ): number {
--- a/packages/decisions/src/event_progress.ts
+++ b/packages/decisions/src/event_progress.ts
@@ -3,11 +3,11 @@
  * left out; when a second engine goes on, the first event that it brings must
  * be the one that follows, as a missing one could not be made up for.
  */
-import type {WholeEvent} from './event_splitter.js';
+import type {ServerSentEvent} from './event_splitter.js';
 
 /** What of some events goes to the caller. */
 export interface AcceptedEvents {
-  readonly fresh: readonly Buffer[];
+  readonly newEvents: readonly Buffer[];
   /** Whether events are missing before the first that is not repeated. */
   readonly hasGap: boolean;
 }
@@ -27,12 +27,12 @@
   }
 
   /** Takes it that another engine goes on. */
-  startAfterLoss(): void {
+  markFailover(): void {
     this.isAfterLoss = true;
   }
 
   /** Takes events in the order in which they arrived. */
-  accept(events: readonly WholeEvent[]): AcceptedEvents {
+  accept(events: readonly ServerSentEvent[]): AcceptedEvents {
     const fresh: Buffer[] = [];
     for (const {id, bytes} of events) {
       if (id === undefined) {
@@ -41,13 +41,13 @@
       }
       const {last} = this;
       if (last !== undefined && id <= last) continue;
-      if (this.isGapBefore(id)) return {fresh, hasGap: true};
+      if (this.isGapBefore(id)) return {newEvents: fresh, hasGap: true};
       if (last !== undefined && !this.isAfterLoss) this.step = id - last;
       this.isAfterLoss = false;
       this.last = id;
       fresh.push(bytes);
     }
-    return {fresh, hasGap: false};
+    return {newEvents: fresh, hasGap: false};
   }
 
   private isGapBefore(id: number): boolean {
--- a/packages/decisions/src/event_splitter.ts
+++ b/packages/decisions/src/event_splitter.ts
@@ -4,7 +4,7 @@
  */
 
 /** A whole event with the bytes that it came in. */
-export interface WholeEvent {
+export interface ServerSentEvent {
   /** Undefined when the event has no numeric id. */
   readonly id: number | undefined;
   readonly bytes: Buffer;
@@ -31,12 +31,12 @@
   }
 
   /** Takes bytes as they arrive; gives the events that became whole. */
-  add(bytes: Buffer): WholeEvent[] {
+  add(bytes: Buffer): ServerSentEvent[] {
     const all =
       this.rest.length === 0 ? bytes : Buffer.concat([this.rest, bytes]);
     const isPlain = !all.includes(CARRIAGE_RETURN);
     const separators = isPlain ? PLAIN_SEPARATORS : SEPARATORS;
-    const events: WholeEvent[] = [];
+    const events: ServerSentEvent[] = [];
     let from = 0;
     for (;;) {
       const end = findEventEnd(all, from, separators);
@@ -63,7 +63,7 @@
   return end;
 }
 
-function createEvent(bytes: Buffer): WholeEvent {
+function createEvent(bytes: Buffer): ServerSentEvent {
   const id = readLeadingId(bytes) ?? findId(bytes);
   return {id, bytes};
 }
--- a/packages/decisions/src/host_watch.ts
+++ b/packages/decisions/src/failure_detector.ts
@@ -10,26 +10,26 @@
  * within some round trips. docs/design/membership.md has the figures.
  */
 import {getShuffled, type Random} from '@irisdock/kernel';
-import {ChangeQueue} from './change_queue.js';
+import {GossipQueue} from './gossip_queue.js';
 import {
   compareRecords,
-  type HostChange,
+  type HostUpdate,
   type HostRecord,
 } from './host_record.js';
 import {
   HostView,
-  type ChangeOutcome,
-  type HostViewTimes,
+  type UpdateOutcome,
+  type HostTimeouts,
   type KnownHost,
 } from './host_view.js';
 import {ProbeSchedule} from './probe_schedule.js';
 
 /** What a message asks for. */
-export type WatchKind = 'answer' | 'notice' | 'probe' | 'relay';
+export type GossipMessageKind = 'answer' | 'notice' | 'probe' | 'relay';
 
 /** What hosts send each other to keep track. */
-export interface WatchMessage<P> {
-  readonly kind: WatchKind;
+export interface GossipMessage<P> {
+  readonly kind: GossipMessageKind;
   readonly sender: HostRecord;
   /** Where the sender is reached; undefined where it is known for sure. */
   readonly place: P | undefined;
@@ -37,15 +37,15 @@
   readonly asker: string | undefined;
   /** Whom a relay is to ask; who answered, in an answer passed on. */
   readonly target: string | undefined;
-  readonly changes: readonly HostChange<P>[];
+  readonly updates: readonly HostUpdate<P>[];
   /** Alike only where the same records are known. */
   readonly recordsHash: number;
 }
 
 /** A message and the host that it goes to. */
-export interface OutgoingWatch<P> {
+export interface OutgoingGossip<P> {
   readonly to: KnownHost<P>;
-  readonly message: WatchMessage<P>;
+  readonly message: GossipMessage<P>;
 }
 
 /** The other hosts up to which several are asked in a beat. */
@@ -73,9 +73,9 @@
 const LATE_BEATS = 2;
 
 /** Keeps track of the other hosts. */
-export class HostWatch<P> {
+export class FailureDetector<P> {
   readonly view: HostView<P>;
-  private readonly queue = new ChangeQueue();
+  private readonly queue = new GossipQueue();
   private readonly schedule: ProbeSchedule;
   private beatAt = -Infinity;
   private receivedAt = -Infinity;
@@ -87,7 +87,7 @@
   constructor(
     own: HostRecord,
     private readonly ownPlace: P,
-    times: HostViewTimes,
+    times: HostTimeouts,
     /** The time between two beats, in ms. */
     private readonly beatMs: number,
     private readonly random: Random,
@@ -101,7 +101,7 @@
   }
 
   /** Whether there is news that should not wait for the next beat. */
-  get isFresh(): boolean {
+  get hasUrgentUpdates(): boolean {
     return this.hasFresh;
   }
 
@@ -119,7 +119,7 @@
    * Takes the whole list of another host. A host that knew nobody before has
    * nothing to pass on: the others know all that it learns so.
    */
-  acceptList(changes: readonly HostChange<P>[], now: number): void {
+  acceptHostList(changes: readonly HostUpdate<P>[], now: number): void {
     const isJoining = this.view.countKnown() === 0;
     for (const change of changes) {
       const outcome = this.applyChange(change, now);
@@ -128,14 +128,14 @@
   }
 
   /** Gives the hosts that this one has found silent since the last call. */
-  takeSilent(): string[] {
+  takeNewlySuspected(): string[] {
     const {silent} = this;
     this.silent = [];
     return silent;
   }
 
   /** Takes the steps of one beat. */
-  startBeat(now: number): OutgoingWatch<P>[] {
+  startBeat(now: number): OutgoingGossip<P>[] {
     const isPunctual = now - this.beatAt < LATE_BEATS * this.beatMs;
     this.beatAt = now;
     const isTrusted = isPunctual && this.hasHeardAny(now);
@@ -143,7 +143,7 @@
     const byName = new Map(alive.map((host) => [host.record.name, host]));
     const count = this.countProbes(alive.length);
     const plan = this.schedule.planBeat(byName, isTrusted, count);
-    const sent: OutgoingWatch<P>[] = [];
+    const sent: OutgoingGossip<P>[] = [];
     for (const name of plan.silent) this.markSilent(name, now);
     for (const name of plan.relayed) sent.push(...this.createRelays(name));
     for (const name of plan.probed) sent.push(...this.createProbe(name));
@@ -153,7 +153,7 @@
   }
 
   /** Tells a few hosts what is fresh. */
-  startNotices(): OutgoingWatch<P>[] {
+  createNotices(): OutgoingGossip<P>[] {
     this.hasFresh = false;
     const targets = getShuffled(this.view.listAlive(), this.random);
     return targets
@@ -162,14 +162,14 @@
   }
 
   /** Takes a message; gives what is sent in return. */
-  accept(message: WatchMessage<P>, now: number): OutgoingWatch<P>[] {
+  accept(message: GossipMessage<P>, now: number): OutgoingGossip<P>[] {
     const {sender, place, asker, target} = message;
     this.receivedAt = now;
     // Before its own word lifts a suspicion: the sender has to be told of it.
     const correction = this.findCorrection(sender);
     this.applyChange({record: sender, isSuspected: false, place}, now);
-    for (const told of message.changes) this.applyChange(told, now);
-    this.view.markHeard(sender, now);
+    for (const told of message.updates) this.applyChange(told, now);
+    this.view.markAlive(sender, now);
     this.schedule.markHeard(sender.name);
     const from = this.view.find(sender.name);
     if (from === undefined) return [];
@@ -185,7 +185,7 @@
       : [this.createMessage(from, 'notice', {}, correction)];
   }
 
-  private acceptAnswer(message: WatchMessage<P>): OutgoingWatch<P>[] {
+  private acceptAnswer(message: GossipMessage<P>): OutgoingGossip<P>[] {
     const {asker, target, sender} = message;
     if (target !== undefined) this.schedule.markHeard(target);
     if (asker === undefined || asker === this.view.ownRecord.name) return [];
@@ -204,7 +204,7 @@
    * a new record: that it is suspected, or that a newer record of it is known,
    * as when the time of day has gone back before its start.
    */
-  private findCorrection(sender: HostRecord): HostChange<P> | undefined {
+  private findCorrection(sender: HostRecord): HostUpdate<P> | undefined {
     const known = this.view.find(sender.name);
     if (known === undefined) return undefined;
     const isSuspected = known.standing !== 'alive';
@@ -213,7 +213,7 @@
     return {record: known.record, isSuspected, place: undefined};
   }
 
-  private applyChange(change: HostChange<P>, now: number): ChangeOutcome {
+  private applyChange(change: HostUpdate<P>, now: number): UpdateOutcome {
     const outcome = this.view.accept(change, now);
     const {name} = change.record;
     if (outcome === 'fresh') this.addFresh(name);
@@ -227,17 +227,17 @@
   }
 
   private markSilent(name: string, now: number): void {
-    if (!this.view.markSilent(name, now)) return;
+    if (!this.view.markSuspected(name, now)) return;
     this.silent.push(name);
     this.addFresh(name);
   }
 
-  private createProbe(name: string, asker?: string): OutgoingWatch<P>[] {
+  private createProbe(name: string, asker?: string): OutgoingGossip<P>[] {
     const to = this.view.find(name);
     return to === undefined ? [] : [this.createMessage(to, 'probe', {asker})];
   }
 
-  private createRelays(target: string): OutgoingWatch<P>[] {
+  private createRelays(target: string): OutgoingGossip<P>[] {
     const others = this.view
       .listAlive()
       .filter(({record}) => record.name !== target);
@@ -247,7 +247,7 @@
   }
 
   /** Asks one host that is not believed to be alive. */
-  private createRetry(): OutgoingWatch<P>[] {
+  private createRetry(): OutgoingGossip<P>[] {
     const doubted = this.view
       .listKnown()
       .filter(({standing}) => standing !== 'alive');
@@ -264,32 +264,32 @@
   /** @param correction What the receiver has to be told of itself. */
   private createMessage(
     to: KnownHost<P>,
-    kind: WatchKind,
-    about: Partial<Pick<WatchMessage<P>, 'asker' | 'target'>>,
-    correction?: HostChange<P>,
-  ): OutgoingWatch<P> {
+    kind: GossipMessageKind,
+    about: Partial<Pick<GossipMessage<P>, 'asker' | 'target'>>,
+    correction?: HostUpdate<P>,
+  ): OutgoingGossip<P> {
     const changes = this.takeChanges();
     if (correction !== undefined) changes.push(correction);
-    const message: WatchMessage<P> = {
+    const message: GossipMessage<P> = {
       kind,
       sender: this.view.ownRecord,
       place: kind === 'probe' ? this.ownPlace : undefined,
       asker: about.asker,
       target: about.target,
-      changes,
+      updates: changes,
       recordsHash: this.view.recordsHash,
     };
     return {to, message};
   }
 
-  private takeChanges(): HostChange<P>[] {
+  private takeChanges(): HostUpdate<P>[] {
     const hostCount = this.view.countKnown() + 1;
     const names = this.queue.take(CHANGES_BYTES, hostCount, (name) =>
-      this.view.createShortChange(name)?.place === undefined
+      this.view.createCompactUpdate(name)?.place === undefined
         ? CHANGE_BYTES.short
         : CHANGE_BYTES.placed,
     );
-    const changes = names.map((name) => this.view.createShortChange(name));
+    const changes = names.map((name) => this.view.createCompactUpdate(name));
     return changes.filter((change) => change !== undefined);
   }
 }
--- a/packages/decisions/src/fair_queue.ts
+++ b/packages/decisions/src/fair_queue.ts
@@ -8,7 +8,7 @@
  */
 
 /** A request that waits. */
-export interface Waiter {
+export interface QueuedRequest {
   readonly id: string;
   readonly team: string;
   /** The team's weight on this service, above 0. */
@@ -20,12 +20,12 @@
 }
 
 /** What became of an offered request. */
-export type Offer =
+export type OfferResult =
   | {readonly outcome: 'refused'}
-  | {readonly outcome: 'waits'; readonly pushedOut?: Waiter};
+  | {readonly outcome: 'waits'; readonly evicted?: QueuedRequest};
 
 interface Entry {
-  readonly waiter: Waiter;
+  readonly waiter: QueuedRequest;
   readonly startMark: number;
   readonly finishMark: number;
 }
@@ -49,7 +49,7 @@
   }
 
   /** Takes a request in, pushes another out for it, or refuses it. */
-  offer(waiter: Waiter): Offer {
+  offer(waiter: QueuedRequest): OfferResult {
     if (this.count < this.maxCount()) {
       this.add(waiter);
       return {outcome: 'waits'};
@@ -60,18 +60,18 @@
     if (own >= largest.share) return {outcome: 'refused'};
     const pushedOut = this.takeNewest(largest.queue);
     this.add(waiter);
-    return {outcome: 'waits', pushedOut};
+    return {outcome: 'waits', evicted: pushedOut};
   }
 
   /** Takes out the request that goes next. */
-  take(): Waiter | undefined {
+  take(): QueuedRequest | undefined {
     const [first] = this.listHeads(1);
     if (first !== undefined) this.takeHead(first.team);
     return first;
   }
 
   /** Lists the first request of each team, the one that goes next first. */
-  listHeads(limit: number): Waiter[] {
+  listHeads(limit: number): QueuedRequest[] {
     const heads = [...this.teams.values()].flatMap((q) => q.entries[0] ?? []);
     heads.sort((a, b) => a.startMark - b.startMark);
     return heads.slice(0, limit).map((entry) => entry.waiter);
@@ -99,8 +99,8 @@
   }
 
   /** Takes out every request whose wait must have ended. */
-  takeExpired(now: number): Waiter[] {
-    const expired: Waiter[] = [];
+  takeExpired(now: number): QueuedRequest[] {
+    const expired: QueuedRequest[] = [];
     for (const queue of this.teams.values()) {
       for (const entry of [...queue.entries]) {
         if (entry.waiter.deadlineAt > now) continue;
@@ -113,11 +113,11 @@
   }
 
   /** Takes out every request. */
-  takeAll(): Waiter[] {
+  takeAll(): QueuedRequest[] {
     return this.takeExpired(Infinity);
   }
 
-  private add(waiter: Waiter): void {
+  private add(waiter: QueuedRequest): void {
     const queue = this.teams.get(waiter.team) ?? {entries: [], lastFinish: 0};
     this.teams.set(waiter.team, queue);
     const startMark = Math.max(this.virtualTime, queue.lastFinish);
@@ -127,7 +127,7 @@
     this.count++;
   }
 
-  private takeNewest(queue: TeamQueue): Waiter {
+  private takeNewest(queue: TeamQueue): QueuedRequest {
     const entry = queue.entries.pop();
     if (entry === undefined) throw new Error('The largest queue is empty.');
     queue.lastFinish = entry.startMark;
--- a/packages/decisions/src/generation_number.ts
+++ b/packages/decisions/src/generation_number.ts
@@ -15,6 +15,6 @@
 }
 
 /** Gives how many hosts had taken the request over at that number. */
-export function getTakeover(generation: number): number {
+export function getTakeoverCount(generation: number): number {
   return Math.floor(generation / ATTEMPTS);
 }
--- a/packages/decisions/src/change_queue.ts
+++ b/packages/decisions/src/gossip_queue.ts
@@ -13,7 +13,7 @@
 const SENDS_PER_DOUBLING = 2;
 
 /** The changes that are still told, by the name of the host. */
-export class ChangeQueue {
+export class GossipQueue {
   private readonly sends = new Map<string, number>();
 
   /** Takes it that there is something new to tell of a host. */
--- a/packages/decisions/src/engine_homes.ts
+++ b/packages/decisions/src/home_groups.ts
@@ -10,15 +10,15 @@
 import type {HostGroup} from './host_group.js';
 
 /** An engine that is to get a home. */
-export interface HousedEngine {
+export interface EngineLocation {
   readonly instanceId: string;
   readonly failureDomain: string;
 }
 
 /** Gives the home group of each engine, by its instance id. */
-export function createHomes(
+export function computeHomeGroups(
   groups: readonly HostGroup[],
-  engines: readonly HousedEngine[],
+  engines: readonly EngineLocation[],
 ): ReadonlyMap<string, HostGroup> {
   const homes = new Map<string, HostGroup>();
   const [only] = groups;
@@ -27,7 +27,7 @@
     for (const {instanceId} of engines) homes.set(instanceId, only);
     return homes;
   }
-  const byDomain = new Map<string, HousedEngine[]>();
+  const byDomain = new Map<string, EngineLocation[]>();
   for (const engine of engines) {
     const near = byDomain.get(engine.failureDomain);
     if (near === undefined) byDomain.set(engine.failureDomain, [engine]);
@@ -43,7 +43,7 @@
 /** Shares engines out evenly, each to the first group by a hash with room. */
 function addShared(
   groups: readonly HostGroup[],
-  engines: readonly HousedEngine[],
+  engines: readonly EngineLocation[],
   homes: Map<string, HostGroup>,
 ): void {
   const room = new Map<string, number>();
--- a/packages/decisions/src/host_group.ts
+++ b/packages/decisions/src/host_group.ts
@@ -7,7 +7,7 @@
 import {hashText} from './hash.js';
 
 /** A host that may be in a group. */
-export interface GroupedHost {
+export interface HostLocation {
   readonly name: string;
   readonly failureDomain: string;
 }
@@ -26,7 +26,7 @@
 const GROUP_SIZE = 8;
 
 /** Forms the groups. */
-export function createHostGroups(hosts: readonly GroupedHost[]): HostGroup[] {
+export function createHostGroups(hosts: readonly HostLocation[]): HostGroup[] {
   if (hosts.length <= ONE_GROUP_UP_TO) {
     const names = hosts.map(({name}) => name).sort();
     return [{key: 'all', failureDomain: '', names}];
--- a/packages/decisions/src/host_record.ts
+++ b/packages/decisions/src/host_record.ts
@@ -19,7 +19,7 @@
 }
 
 /** What one host tells another of a third one, or of itself. */
-export interface HostChange<P> {
+export interface HostUpdate<P> {
   readonly record: HostRecord;
   /** Whether the host did not answer when it was last asked. */
   readonly isSuspected: boolean;
--- a/packages/decisions/src/host_view.ts
+++ b/packages/decisions/src/host_view.ts
@@ -9,7 +9,7 @@
  */
 import {
   compareRecords,
-  type HostChange,
+  type HostUpdate,
   type HostRecord,
 } from './host_record.js';
 
@@ -24,7 +24,7 @@
 }
 
 /** When silence counts, in ms. */
-export interface HostViewTimes {
+export interface HostTimeouts {
   /** From the suspicion until a host counts as lost. */
   readonly lostAfterMs: number;
   /** From the loss until a host is forgotten. */
@@ -32,7 +32,7 @@
 }
 
 /** What became of a change that was told. */
-export type ChangeOutcome =
+export type UpdateOutcome =
   /** It is news here and is passed on. */
   | 'fresh'
   /** It is known, or older than what is known. */
@@ -59,7 +59,7 @@
   constructor(
     private own: HostRecord,
     private readonly ownPlace: P,
-    private readonly times: HostViewTimes,
+    private readonly times: HostTimeouts,
     /** Gives a number below 2^32 for a record. */
     private readonly hashRecord: (record: HostRecord) => number,
   ) {}
@@ -101,7 +101,7 @@
   }
 
   /** Gives the change that tells all of a host as it is known here. */
-  createChange(name: string): HostChange<P> | undefined {
+  createUpdate(name: string): HostUpdate<P> | undefined {
     if (name === this.own.name) {
       return {record: this.own, isSuspected: false, place: this.ownPlace};
     }
@@ -115,8 +115,8 @@
    * Gives the change in few bytes: the place only with the first records of a
    * life, as others know it from then on.
    */
-  createShortChange(name: string): HostChange<P> | undefined {
-    const change = this.createChange(name);
+  createCompactUpdate(name: string): HostUpdate<P> | undefined {
+    const change = this.createUpdate(name);
     if (change === undefined) return undefined;
     const isEarly = change.record.version <= PLACE_VERSIONS;
     if (isEarly && !change.isSuspected) return change;
@@ -132,7 +132,7 @@
   }
 
   /** Takes what another host told. */
-  accept(change: HostChange<P>, now: number): ChangeOutcome {
+  accept(change: HostUpdate<P>, now: number): UpdateOutcome {
     const {record, isSuspected, place} = change;
     if (record.name === this.own.name) return this.acceptOwn(change);
     const known = this.hosts.get(record.name);
@@ -156,7 +156,7 @@
    * to be alive. Its own word is proof, whatever others suspect, but says
    * nothing of an earlier life, whose record may still be the one known.
    */
-  markHeard({name, incarnation}: HostRecord, now: number): boolean {
+  markAlive({name, incarnation}: HostRecord, now: number): boolean {
     const known = this.hosts.get(name);
     if (known === undefined || known.standing === 'alive') return false;
     if (known.record.incarnation !== incarnation) return false;
@@ -165,7 +165,7 @@
   }
 
   /** Takes it that a host did not answer; true when that is news. */
-  markSilent(name: string, now: number): boolean {
+  markSuspected(name: string, now: number): boolean {
     const known = this.hosts.get(name);
     if (known?.standing !== 'alive') return false;
     this.put({...known, standing: 'suspected', since: now});
@@ -220,7 +220,7 @@
    * this life, as the time of day may have gone back: a newer record of its
    * own sets them right.
    */
-  private acceptOwn({record, isSuspected}: HostChange<P>): ChangeOutcome {
+  private acceptOwn({record, isSuspected}: HostUpdate<P>): UpdateOutcome {
     const order = compareRecords(record, this.own);
     if (order < 0 || (order === 0 && !isSuspected)) return 'known';
     const isOtherLife = record.incarnation !== this.own.incarnation;
--- a/packages/decisions/src/apart_placement.ts
+++ b/packages/decisions/src/isolated_placement.ts
@@ -18,7 +18,7 @@
  *
  * @param content Names the content of the stream.
  */
-export function chooseApart<V extends EngineView>(
+export function chooseIsolatedEngine<V extends EngineView>(
   engines: Iterable<V>,
   request: EngineRequest,
   content: string,
--- a/packages/decisions/src/duty_hosts.ts
+++ b/packages/decisions/src/leader_candidates.ts
@@ -6,7 +6,7 @@
 import {hashText} from './hash.js';
 
 /** Chooses up to `count` hosts for a duty, the first in line first. */
-export function chooseDutyHosts(
+export function chooseLeaderCandidates(
   duty: string,
   hostIds: readonly string[],
   count: number,
--- a/packages/decisions/src/naive/naive_crash_ledger.ts
+++ b/packages/decisions/src/naive/naive_crash_ledger.ts
@@ -1,7 +1,7 @@
 /** What a ledger of crashes decides, from the list of all crashes. */
 import {
-  MOST_CRASHES,
-  REFUSED_FROM,
+  MAX_CRASHES,
+  REFUSAL_THRESHOLD,
   type ContentVerdict,
   type Crash,
 } from '../crash_ledger.js';
@@ -13,8 +13,8 @@
 ): ContentVerdict {
   const own = listStarts(crashes, content);
   if (own.length === 0) return 'clear';
-  if (own.length >= MOST_CRASHES) return 'refused';
-  if (own.length < REFUSED_FROM) return 'suspected';
+  if (own.length >= MAX_CRASHES) return 'refused';
+  if (own.length < REFUSAL_THRESHOLD) return 'suspected';
   const rank = computeRank(crashes, content);
   if (rank < UNSHARED_RANK) return 'suspected';
   let counted = 0;
@@ -25,7 +25,7 @@
     if (most < rank) counted += 1;
     else if (most === rank) counted += 0.5;
   }
-  return counted >= REFUSED_FROM ? 'refused' : 'suspected';
+  return counted >= REFUSAL_THRESHOLD ? 'refused' : 'suspected';
 }
 
 /** What a crash without another suspect adds to a rank. */
@@ -60,7 +60,7 @@
   const starts: string[] = [];
   for (const one of crashes) {
     if (one.content !== content) continue;
-    if (starts.includes(one.instanceId) || starts.length === MOST_CRASHES) {
+    if (starts.includes(one.instanceId) || starts.length === MAX_CRASHES) {
       continue;
     }
     starts.push(one.instanceId);
--- a/packages/decisions/src/naive/naive_endpoint_choice.ts
+++ b/packages/decisions/src/naive/naive_endpoint_choice.ts
@@ -8,8 +8,8 @@
 ): EndpointView | undefined {
   let best: EndpointView | undefined;
   for (const endpoint of endpoints) {
-    if (!endpoint.answering) continue;
-    if (best === undefined || endpoint.reported < best.reported) {
+    if (!endpoint.isAnswering) continue;
+    if (best === undefined || endpoint.reportedLoad < best.reportedLoad) {
       best = endpoint;
     }
   }
@@ -21,7 +21,7 @@
   endpoints: readonly EndpointView[],
   random: Random,
 ): EndpointView | undefined {
-  const answering = endpoints.filter((e) => e.answering);
+  const answering = endpoints.filter((e) => e.isAnswering);
   if (answering.length === 0) return undefined;
   return answering[random.getInt(answering.length)];
 }
--- a/packages/decisions/src/naive/naive_queue.ts
+++ b/packages/decisions/src/naive/naive_queue.ts
@@ -1,9 +1,9 @@
 /** The naive queue: first come, first served, refused when full. */
-import type {Offer, Waiter} from '../fair_queue.js';
+import type {OfferResult, QueuedRequest} from '../fair_queue.js';
 
 /** Requests in the order of their arrival. */
 export class NaiveQueue {
-  private readonly waiters: Waiter[] = [];
+  private readonly waiters: QueuedRequest[] = [];
 
   constructor(private readonly maxCount: () => number) {}
 
@@ -11,13 +11,13 @@
     return this.waiters.length;
   }
 
-  offer(waiter: Waiter): Offer {
+  offer(waiter: QueuedRequest): OfferResult {
     if (this.waiters.length >= this.maxCount()) return {outcome: 'refused'};
     this.waiters.push(waiter);
     return {outcome: 'waits'};
   }
 
-  take(): Waiter | undefined {
+  take(): QueuedRequest | undefined {
     return this.waiters.shift();
   }
 }
--- a/packages/decisions/src/ask_pace.ts
+++ b/packages/decisions/src/permit_retry_delay.ts
@@ -24,7 +24,7 @@
  * @param perSecond The whole limit, however many hosts hand it out.
  * @param waitMs Until the next permit, in ms.
  */
-export function computePauseMs(
+export function computePermitRetryDelayMs(
   askers: number,
   perSecond: number,
   waitMs: number,
--- a/packages/decisions/src/copy_age.ts
+++ b/packages/decisions/src/replica_age.ts
@@ -5,26 +5,26 @@
  */
 
 /** What a host that read the store says of a table. */
-export interface TableWord {
+export interface FreshnessReport {
   /** The highest revision of a change that there was. */
-  readonly newest: number;
+  readonly latestRevision: number;
   /** When that was so, in ms on the clock of whoever takes the word. */
   readonly at: number;
 }
 
 /** The age of a copy. */
-export class CopyAge {
+export class ReplicaAge {
   private certainAt = -Infinity;
   /** A word for changes that the copy lacks. */
-  private ahead: TableWord | undefined;
+  private ahead: FreshnessReport | undefined;
 
   /** Gives the age, in ms; Infinity when nobody has vouched for the copy. */
-  getMs(now: number): number {
+  getAgeMs(now: number): number {
     return now - this.certainAt;
   }
 
   /** Takes it that the store itself showed the copy to be the newest. */
-  recordRead(now: number): void {
+  recordStoreRead(now: number): void {
     this.certainAt = Math.max(this.certainAt, now);
   }
 
@@ -34,9 +34,9 @@
    * @param held The highest revision of a change that the copy holds.
    * @returns Whether the word made the copy younger.
    */
-  acceptWord(word: TableWord, held: number): boolean {
-    if (word.newest > held) {
-      const isNewer = word.newest >= (this.ahead?.newest ?? 0);
+  acceptReport(word: FreshnessReport, held: number): boolean {
+    if (word.latestRevision > held) {
+      const isNewer = word.latestRevision >= (this.ahead?.latestRevision ?? 0);
       if (isNewer) this.ahead = word;
       return false;
     }
@@ -46,8 +46,8 @@
   }
 
   /** Takes it that the copy holds changes up to a revision now. */
-  recordHeld(held: number): void {
-    if (this.ahead === undefined || this.ahead.newest > held) return;
+  recordRevision(held: number): void {
+    if (this.ahead === undefined || this.ahead.latestRevision > held) return;
     this.certainAt = Math.max(this.certainAt, this.ahead.at);
     this.ahead = undefined;
   }
--- a/packages/decisions/src/copy_check.ts
+++ b/packages/decisions/src/replica_check_schedule.ts
@@ -22,7 +22,7 @@
 const PARTS = 1000;
 
 /** Decides when the copies of a host are checked. */
-export class CopyCheck {
+export class ReplicaCheckSchedule {
   private failures = 0;
   private pausedUntil = -Infinity;
   /** The place of this host among those that check, from 0 to 1. */
@@ -51,7 +51,7 @@
   }
 
   /** Takes it that the store has answered. */
-  recordAnswer(): void {
+  recordSuccess(): void {
     this.failures = 0;
     this.drawn = this.chooseMoment();
   }
--- a/packages/decisions/src/departure_delay.ts
+++ b/packages/decisions/src/store_reachability.ts
@@ -7,10 +7,10 @@
  */
 
 /** How long after its return the store may lack entries, in ms. */
-export const RETURN_GRACE_MS = 2300;
+export const RECOVERY_GRACE_MS = 2300;
 
 /** Follows whether the store can be reached. */
-export class StoreContact {
+export class StoreReachability {
   private awaySince: number | undefined;
   private returnedAt = -Infinity;
 
@@ -20,7 +20,7 @@
   }
 
   /** Takes a call that the store answered. */
-  recordAnswer(now: number): void {
+  recordSuccess(now: number): void {
     if (this.awaySince === undefined) return;
     this.awaySince = undefined;
     this.returnedAt = now;
@@ -38,8 +38,8 @@
   }
 
   /** Gives for how long a vanished entry stays in use, in ms from now. */
-  getDepartureDelay(now: number): number {
+  getDepartureDelayMs(now: number): number {
     if (this.awaySince !== undefined) return Infinity;
-    return Math.max(0, this.returnedAt + RETURN_GRACE_MS - now);
+    return Math.max(0, this.returnedAt + RECOVERY_GRACE_MS - now);
   }
 }
--- a/packages/decisions/tests/answer_assembler.test.ts
+++ b/packages/decisions/tests/answer_assembler.test.ts
@@ -6,7 +6,7 @@
   NaiveAssembler,
   type GenerationEnd,
   type Token,
-  type Verdict,
+  type AssemblyDecision,
 } from '@irisdock/decisions';
 import fc from 'fast-check';
 import {RUN_OPTIONS} from './run_options.js';
@@ -17,8 +17,8 @@
 type Item = {readonly token: Token} | {readonly end: GenerationEnd};
 
 interface Assembler {
-  acceptToken(token: Token): Verdict;
-  acceptEnd(end: GenerationEnd): Verdict;
+  acceptToken(token: Token): AssemblyDecision;
+  acceptEnd(end: GenerationEnd): AssemblyDecision;
 }
 
 function createToken(offset: number, change: Partial<Token> = {}): Token {
@@ -157,7 +157,7 @@
           rest.push({token: createToken(offset, {generation: 2})});
         }
         rest.push({end: createEnd({generation: 2})});
-        if (assembler.isEnded) return;
+        if (assembler.isComplete) return;
         const second = runItems(assembler, rest);
         assert.ok(second.ended);
         const text = [first.text, second.text].filter((t) => t !== '');
--- a/packages/decisions/tests/crash_ledger.test.ts
+++ b/packages/decisions/tests/crash_ledger.test.ts
@@ -5,7 +5,7 @@
 import {
   CrashLedger,
   decideContentNaively,
-  MOST_CRASHES,
+  MAX_CRASHES,
   type Crash,
 } from '@irisdock/decisions';
 
@@ -83,8 +83,8 @@
     }
     assert.equal(ledger.decide('one'), 'refused');
     assert.equal(ledger.decide('two'), 'refused');
-    assert.ok(ledger.countCrashes('one') <= MOST_CRASHES);
-    assert.ok(ledger.countCrashes('two') <= MOST_CRASHES);
+    assert.ok(ledger.countCrashes('one') <= MAX_CRASHES);
+    assert.ok(ledger.countCrashes('two') <= MAX_CRASHES);
   });
 
   it('forgets what ended well, and what had no crash for long', () => {
--- a/packages/decisions/tests/endpoint_choice.test.ts
+++ b/packages/decisions/tests/endpoint_choice.test.ts
@@ -24,11 +24,11 @@
   return {
     address: `e${at}`,
     failureDomain: 'abc'[at % 3] ?? '',
-    answering: true,
+    isAnswering: true,
     isQuiet: false,
     lossRate: 0,
     slots: 10,
-    reported: 0,
+    reportedLoad: 0,
     sentSinceReport: 0,
     inFlight: 0,
     ...change,
@@ -38,11 +38,11 @@
 function createRequest(change: Partial<ChoiceRequest> = {}): ChoiceRequest {
   return {
     blockCount: 0,
-    avoid: new Set(),
+    avoidAddresses: new Set(),
     mayRetryLost: true,
     avoidDomains: new Set(),
     preferDomains: new Set(),
-    fullAt: 1,
+    maxLoad: 1,
     ...change,
   };
 }
@@ -61,7 +61,7 @@
     for (let request = 0; request < 10; request++) {
       const views = Array.from({length: 20}, (_, at) =>
         createView(at, {
-          reported: at % 3,
+          reportedLoad: at % 3,
           sentSinceReport: own.get(`e${at}`) ?? 0,
           inFlight: own.get(`e${at}`) ?? 0,
         }),
@@ -85,13 +85,16 @@
     {name: 'gives nothing of nothing', views: [], request: {}, want: undefined},
     {
       name: 'gives nothing when all are full',
-      views: [createView(0, {reported: 10}), createView(1, {inFlight: 12})],
+      views: [createView(0, {reportedLoad: 10}), createView(1, {inFlight: 12})],
       request: {},
       want: undefined,
     },
     {
       name: 'takes the one with less to do',
-      views: [createView(0, {reported: 6}), createView(1, {reported: 2})],
+      views: [
+        createView(0, {reportedLoad: 6}),
+        createView(1, {reportedLoad: 2}),
+      ],
       request: {},
       want: 'e1',
     },
@@ -103,77 +106,83 @@
     },
     {
       name: 'leaves out one that does not answer',
-      views: [createView(0, {answering: false}), createView(1, {reported: 9})],
+      views: [
+        createView(0, {isAnswering: false}),
+        createView(1, {reportedLoad: 9}),
+      ],
       request: {},
       want: 'e1',
     },
     {
       name: 'tries one that seems lost when all seem lost',
-      views: [createView(0, {answering: false})],
+      views: [createView(0, {isAnswering: false})],
       request: {},
       want: 'e0',
     },
     {
       name: 'tries again what failed when there is nothing else',
       views: [createView(0)],
-      request: {avoid: new Set(['e0'])},
+      request: {avoidAddresses: new Set(['e0'])},
       want: 'e0',
     },
     {
       name: 'tries again one that seems lost when there is nothing else',
-      views: [createView(0, {answering: false})],
-      request: {avoid: new Set(['e0'])},
+      views: [createView(0, {isAnswering: false})],
+      request: {avoidAddresses: new Set(['e0'])},
       want: 'e0',
     },
     {
       name: 'waits for one that failed to answer, if the request can wait',
-      views: [createView(0, {answering: false})],
-      request: {avoid: new Set(['e0']), mayRetryLost: false},
+      views: [createView(0, {isAnswering: false})],
+      request: {avoidAddresses: new Set(['e0']), mayRetryLost: false},
       want: undefined,
     },
     {
       name: 'tries again what failed and answers, though it could wait',
-      views: [createView(0), createView(1, {answering: false})],
-      request: {avoid: new Set(['e0', 'e1']), mayRetryLost: false},
+      views: [createView(0), createView(1, {isAnswering: false})],
+      request: {avoidAddresses: new Set(['e0', 'e1']), mayRetryLost: false},
       want: 'e0',
     },
     {
       name: 'tries one that seems lost once, though it could wait',
       views: [
-        createView(0, {answering: false}),
-        createView(1, {answering: false}),
+        createView(0, {isAnswering: false}),
+        createView(1, {isAnswering: false}),
       ],
-      request: {avoid: new Set(['e0']), mayRetryLost: false},
+      request: {avoidAddresses: new Set(['e0']), mayRetryLost: false},
       want: 'e1',
     },
     {
       name: 'keeps away from what failed the request',
-      views: [createView(0), createView(1, {reported: 9})],
-      request: {avoid: new Set(['e0'])},
+      views: [createView(0), createView(1, {reportedLoad: 9})],
+      request: {avoidAddresses: new Set(['e0'])},
       want: 'e1',
     },
     {
       name: 'uses one that loses streams less',
-      views: [createView(0, {lossRate: 0.3}), createView(1, {reported: 5})],
+      views: [createView(0, {lossRate: 0.3}), createView(1, {reportedLoad: 5})],
       request: {},
       want: 'e1',
     },
     {
       name: 'keeps away from one that makes no tokens, though it answers',
-      views: [createView(0, {isQuiet: true}), createView(1, {reported: 9})],
+      views: [createView(0, {isQuiet: true}), createView(1, {reportedLoad: 9})],
       request: {},
       want: 'e1',
     },
     {
       name: 'uses one that makes no tokens when the others are full',
-      views: [createView(0, {isQuiet: true}), createView(1, {reported: 10})],
+      views: [
+        createView(0, {isQuiet: true}),
+        createView(1, {reportedLoad: 10}),
+      ],
       request: {},
       want: 'e0',
     },
     {
       name: 'uses one that makes no tokens when none does',
       views: [
-        createView(0, {isQuiet: true, reported: 5}),
+        createView(0, {isQuiet: true, reportedLoad: 5}),
         createView(1, {isQuiet: true}),
       ],
       request: {},
@@ -181,7 +190,7 @@
     },
     {
       name: 'keeps away from a failure domain that is being lost',
-      views: [createView(0), createView(1, {reported: 9})],
+      views: [createView(0), createView(1, {reportedLoad: 9})],
       request: {avoidDomains: new Set(['a'])},
       want: 'e1',
     },
@@ -204,7 +213,7 @@
     const request = createRequest({blockCount: 4});
     const chosen = chooseEndpoint(views, request, countHits, random);
     assert.equal(chosen?.address, 'e7');
-    views[7] = createView(7, {reported: 10});
+    views[7] = createView(7, {reportedLoad: 10});
     const other = chooseEndpoint(views, request, countHits, random);
     assert.notEqual(other?.address, 'e7');
   });
@@ -223,14 +232,14 @@
         const all = changes.map((change, at) => createView(at, change));
         const chosen = chooseEndpoint(
           all,
-          createRequest({avoid: new Set(['e0'])}),
+          createRequest({avoidAddresses: new Set(['e0'])}),
           NO_HITS,
           new SeededRandom(seed),
         );
         if (chosen === undefined) return;
-        assert.ok(chosen.reported < 10 && chosen.inFlight < 10);
-        const anyAnswers = all.some((view) => view.answering);
-        assert.ok(chosen.answering || !anyAnswers);
+        assert.ok(chosen.reportedLoad < 10 && chosen.inFlight < 10);
+        const anyAnswers = all.some((view) => view.isAnswering);
+        assert.ok(chosen.isAnswering || !anyAnswers);
       }),
       RUN_OPTIONS,
     );
--- a/packages/decisions/tests/endpoint_limits.test.ts
+++ b/packages/decisions/tests/endpoint_limits.test.ts
@@ -3,7 +3,7 @@
 import {describe, it} from 'node:test';
 import * as fc from 'fast-check';
 import {
-  computePauseMs,
+  computePermitRetryDelayMs,
   decideRate,
   isNewerReport,
   NO_SENDS,
@@ -257,9 +257,9 @@
   });
 
   it('are asked for less often by each host, the more hosts ask', () => {
-    assert.equal(computePauseMs(2, 3, 100), 100);
-    assert.equal(computePauseMs(2, 0.2, 4000), 250);
-    assert.equal(computePauseMs(350, 3, 100), 7000);
-    assert.equal(Math.round(computePauseMs(350, 1000, 1)), 117);
+    assert.equal(computePermitRetryDelayMs(2, 3, 100), 100);
+    assert.equal(computePermitRetryDelayMs(2, 0.2, 4000), 250);
+    assert.equal(computePermitRetryDelayMs(350, 3, 100), 7000);
+    assert.equal(Math.round(computePermitRetryDelayMs(350, 1000, 1)), 117);
   });
 });
--- a/packages/decisions/tests/engine_placement.test.ts
+++ b/packages/decisions/tests/engine_placement.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
-  chooseBackup,
+  chooseBackupEngine,
   chooseEngine,
   choosePlainEndpoint,
   computeEngineCost,
@@ -30,7 +30,7 @@
 
 function createRequest(change: Partial<EngineRequest> = {}): EngineRequest {
   return {
-    tokens: 9000,
+    expectedTokens: 9000,
     promptTokens: 8200,
     excluded: new Set(),
     avoidedDomains: new Set(),
@@ -247,7 +247,7 @@
         const [primary] = all;
         assert.ok(primary !== undefined);
         const request = createRequest();
-        const backup = chooseBackup(all, primary, request);
+        const backup = chooseBackupEngine(all, primary, request);
         if (backup === undefined) return;
         assert.notEqual(backup.failureDomain, primary.failureDomain);
         assert.equal(backup.failureScore, 0);
--- a/packages/decisions/tests/event_stream.test.ts
+++ b/packages/decisions/tests/event_stream.test.ts
@@ -5,12 +5,12 @@
   EventProgress,
   EventSplitter,
   splitEventsNaively,
-  type WholeEvent,
+  type ServerSentEvent,
 } from '@irisdock/decisions';
 import fc from 'fast-check';
 import {RUN_OPTIONS} from './run_options.js';
 
-function createEvent(id: number): WholeEvent {
+function createEvent(id: number): ServerSentEvent {
   return {id, bytes: Buffer.from(`id: ${id}\ndata: x\n\n`)};
 }
 
@@ -100,7 +100,7 @@
         const progress = new EventProgress(undefined);
         const passed: number[] = [];
         for (const id of ids) {
-          const {fresh} = progress.accept([createEvent(id)]);
+          const {newEvents: fresh} = progress.accept([createEvent(id)]);
           if (fresh.length > 0) passed.push(id);
         }
         const rising = [...new Set(passed)].sort((a, b) => a - b);
@@ -113,9 +113,9 @@
   it('finds events that are missing after a loss', () => {
     const progress = new EventProgress(undefined);
     progress.accept([createEvent(1), createEvent(2), createEvent(3)]);
-    progress.startAfterLoss();
+    progress.markFailover();
     const repeated = progress.accept([createEvent(2), createEvent(3)]);
-    assert.deepEqual(repeated, {fresh: [], hasGap: false});
+    assert.deepEqual(repeated, {newEvents: [], hasGap: false});
     assert.equal(progress.accept([createEvent(5)]).hasGap, true);
     assert.equal(progress.accept([createEvent(4)]).hasGap, false);
     assert.equal(progress.lastEventId, 4);
@@ -123,7 +123,7 @@
 
   it('starts after the event that the caller has', () => {
     const progress = new EventProgress(9);
-    assert.equal(progress.accept([createEvent(9)]).fresh.length, 0);
-    assert.equal(progress.accept([createEvent(10)]).fresh.length, 1);
+    assert.equal(progress.accept([createEvent(9)]).newEvents.length, 0);
+    assert.equal(progress.accept([createEvent(10)]).newEvents.length, 1);
   });
 });
--- a/packages/decisions/tests/host_watch.test.ts
+++ b/packages/decisions/tests/failure_detector.test.ts
@@ -3,9 +3,9 @@
 import {describe, it} from 'node:test';
 import {
   BEAT_MS,
-  WatchSimulation,
+  GossipSimulation,
   type SimulatedHost,
-} from './fixtures/watch_simulation.js';
+} from './fixtures/gossip_simulation.js';
 
 const SIZES: readonly [number, number][] = [
   [9, 3],
@@ -16,20 +16,20 @@
 ];
 const SEED = 5;
 
-function createSimulation(hosts: number, domains: number): WatchSimulation {
-  const simulation = new WatchSimulation({hosts, domains, seed: SEED});
+function createSimulation(hosts: number, domains: number): GossipSimulation {
+  const simulation = new GossipSimulation({hosts, domains, seed: SEED});
   simulation.run(3000);
   return simulation;
 }
 
-function getHost(simulation: WatchSimulation, at: number): SimulatedHost {
+function getHost(simulation: GossipSimulation, at: number): SimulatedHost {
   const host = simulation.hosts[at];
   assert.ok(host !== undefined);
   return host;
 }
 
 /** Gives the part of pairs of running hosts of which one doubts the other. */
-function measureDoubt(simulation: WatchSimulation, ms: number): number {
+function measureDoubt(simulation: GossipSimulation, ms: number): number {
   let doubted = 0;
   let pairs = 0;
   const until = simulation.now + ms;
@@ -44,7 +44,7 @@
 
 /** Gives after how long each running host doubts one that was stopped. */
 function measureNoticed(
-  simulation: WatchSimulation,
+  simulation: GossipSimulation,
   stopped: SimulatedHost,
   ms: number,
 ): number[] {
--- a/packages/decisions/tests/fair_queue.test.ts
+++ b/packages/decisions/tests/fair_queue.test.ts
@@ -1,21 +1,24 @@
 /** Teams share a queue by weight; nobody starves; the queue is bounded. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {FairQueue, NaiveQueue, type Waiter} from '@irisdock/decisions';
+import {FairQueue, NaiveQueue, type QueuedRequest} from '@irisdock/decisions';
 import fc from 'fast-check';
 import {RUN_OPTIONS} from './run_options.js';
 
 let serial = 0;
 
-function createWaiter(team: string, change: Partial<Waiter> = {}): Waiter {
+function createWaiter(
+  team: string,
+  change: Partial<QueuedRequest> = {},
+): QueuedRequest {
   serial++;
   const base = {team, weight: 1, cost: 1, deadlineAt: Infinity};
   return {id: `w${serial}`, ...base, ...change};
 }
 
 interface Queue {
-  offer(waiter: Waiter): unknown;
-  take(): Waiter | undefined;
+  offer(waiter: QueuedRequest): unknown;
+  take(): QueuedRequest | undefined;
 }
 
 /** Fills a queue with a large team's requests, then ten small teams'. */
@@ -78,7 +81,7 @@
     for (const waiter of large) queue.offer(waiter);
     const small = createWaiter('small');
     const offer = queue.offer(small);
-    assert.deepEqual(offer, {outcome: 'waits', pushedOut: large[3]});
+    assert.deepEqual(offer, {outcome: 'waits', evicted: large[3]});
     assert.deepEqual(queue.offer(createWaiter('large')), {outcome: 'refused'});
   });
 
@@ -88,7 +91,7 @@
         const queue = new FairQueue(() => bound);
         const out = new Set<string>();
         const offered = new Set<string>();
-        const leave = (waiter: Waiter | undefined): void => {
+        const leave = (waiter: QueuedRequest | undefined): void => {
           if (waiter === undefined) return;
           assert.ok(offered.has(waiter.id) && !out.has(waiter.id));
           out.add(waiter.id);
@@ -97,7 +100,7 @@
           const waiter = createWaiter(team, {cost});
           const offer = queue.offer(waiter);
           if (offer.outcome === 'waits') offered.add(waiter.id);
-          if (offer.outcome === 'waits') leave(offer.pushedOut);
+          if (offer.outcome === 'waits') leave(offer.evicted);
           assert.ok(queue.size <= bound);
           if (take) leave(queue.take());
         }
--- a/packages/decisions/tests/gateway_limits.test.ts
+++ b/packages/decisions/tests/gateway_limits.test.ts
@@ -3,8 +3,8 @@
 import {describe, it} from 'node:test';
 import {
   chooseStoreReaders,
-  RETURN_GRACE_MS,
-  StoreContact,
+  RECOVERY_GRACE_MS,
+  StoreReachability,
   WindowedBudget,
 } from '@irisdock/decisions';
 import fc from 'fast-check';
@@ -54,14 +54,14 @@
 
 describe('the contact with the store', () => {
   it('delays departures while the store is away and a while after', () => {
-    const contact = new StoreContact();
-    contact.recordAnswer(0);
-    assert.equal(contact.getDepartureDelay(10), 0);
+    const contact = new StoreReachability();
+    contact.recordSuccess(0);
+    assert.equal(contact.getDepartureDelayMs(10), 0);
     contact.recordFailure(100);
-    assert.equal(contact.getDepartureDelay(200), Infinity);
-    contact.recordAnswer(500);
-    assert.equal(contact.getDepartureDelay(600), RETURN_GRACE_MS - 100);
-    assert.equal(contact.getDepartureDelay(500 + RETURN_GRACE_MS), 0);
+    assert.equal(contact.getDepartureDelayMs(200), Infinity);
+    contact.recordSuccess(500);
+    assert.equal(contact.getDepartureDelayMs(600), RECOVERY_GRACE_MS - 100);
+    assert.equal(contact.getDepartureDelayMs(500 + RECOVERY_GRACE_MS), 0);
   });
 });
 
--- a/packages/decisions/tests/engine_homes.test.ts
+++ b/packages/decisions/tests/home_groups.test.ts
@@ -2,12 +2,12 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
-  createHomes,
+  computeHomeGroups,
   createHostGroups,
-  decideFarCount,
+  decideRemoteEngineCount,
   type EngineRequest,
   type EngineView,
-  type HousedEngine,
+  type EngineLocation,
 } from '@irisdock/decisions';
 import {getShuffled, SeededRandom} from '@irisdock/kernel';
 import fc from 'fast-check';
@@ -27,7 +27,7 @@
   }));
 }
 
-function createEngines(count: number, domains: number): HousedEngine[] {
+function createEngines(count: number, domains: number): EngineLocation[] {
   return Array.from({length: count}, (_, at) => ({
     instanceId: `i-${at}`,
     failureDomain: `domain-${at % domains}`,
@@ -50,7 +50,7 @@
           createHosts(play.hosts, play.hostDomains),
         );
         const engines = createEngines(play.engines, play.engineDomains);
-        const homes = createHomes(groups, engines);
+        const homes = computeHomeGroups(groups, engines);
         assert.equal(homes.size, engines.length);
         const counts = new Map<string, number>();
         for (const {instanceId, failureDomain} of engines) {
@@ -78,9 +78,9 @@
   it('are found alike whatever the order', () => {
     const groups = createHostGroups(createHosts(195, 6));
     const engines = createEngines(174, 6);
-    const homes = createHomes(groups, engines);
+    const homes = computeHomeGroups(groups, engines);
     const mixed = getShuffled(engines, new SeededRandom(2));
-    for (const [instanceId, home] of createHomes(groups, mixed)) {
+    for (const [instanceId, home] of computeHomeGroups(groups, mixed)) {
       assert.equal(homes.get(instanceId), home);
     }
   });
@@ -88,8 +88,8 @@
   it('stay for nearly all when one engine goes', () => {
     const groups = createHostGroups(createHosts(195, 6));
     const engines = createEngines(174, 6);
-    const before = createHomes(groups, engines);
-    const after = createHomes(groups, engines.slice(1));
+    const before = computeHomeGroups(groups, engines);
+    const after = computeHomeGroups(groups, engines.slice(1));
     let moved = 0;
     for (const [instanceId, home] of after) {
       if (before.get(instanceId) !== home) moved++;
@@ -100,7 +100,7 @@
 
 describe('the engines beside the home engines', () => {
   const request: EngineRequest = {
-    tokens: 9000,
+    expectedTokens: 9000,
     promptTokens: 8000,
     excluded: new Set(['gone']),
     avoidedDomains: new Set(),
@@ -123,12 +123,18 @@
   }
 
   it('are looked at when the home engines are busy, failed or gone', () => {
-    assert.equal(decideFarCount([createView({})], request), 0);
-    assert.equal(decideFarCount([createView({streams: 1})], request), 3);
-    assert.equal(decideFarCount([createView({failureScore: 1})], request), 3);
+    assert.equal(decideRemoteEngineCount([createView({})], request), 0);
+    assert.equal(
+      decideRemoteEngineCount([createView({streams: 1})], request),
+      3,
+    );
+    assert.equal(
+      decideRemoteEngineCount([createView({failureScore: 1})], request),
+      3,
+    );
     const gone = createView({instanceId: 'gone'});
-    assert.equal(decideFarCount([gone], request), 4);
-    assert.equal(decideFarCount([], request), 4);
+    assert.equal(decideRemoteEngineCount([gone], request), 4);
+    assert.equal(decideRemoteEngineCount([], request), 4);
   });
 });
 
--- a/packages/decisions/tests/host_group.test.ts
+++ b/packages/decisions/tests/host_group.test.ts
@@ -4,13 +4,13 @@
 import {
   chooseHosts,
   createHostGroups,
-  type GroupedHost,
+  type HostLocation,
 } from '@irisdock/decisions';
 import {getShuffled, SeededRandom} from '@irisdock/kernel';
 import fc from 'fast-check';
 import {RUN_OPTIONS} from './run_options.js';
 
-function createHosts(count: number, domains: number): GroupedHost[] {
+function createHosts(count: number, domains: number): HostLocation[] {
   return Array.from({length: count}, (_, at) => ({
     name: `host-${at}`,
     failureDomain: `domain-${at % domains}`,
@@ -60,7 +60,7 @@
 });
 
 describe('the hosts of an address answer', () => {
-  const size = {most: 64, leastFar: 5, least: 16};
+  const size = {maxHosts: 64, minOtherDomain: 5, minHosts: 16};
 
   it('are near ones and some far ones, as many as fit, each once', () => {
     fc.assert(
@@ -69,15 +69,19 @@
         const random = new SeededRandom(seed);
         const chosen = chooseHosts(hosts, 'domain-0', size, random);
         assert.equal(new Set(chosen).size, chosen.length);
-        assert.ok(chosen.length <= size.most);
-        assert.ok(chosen.length >= Math.min(count, size.least));
-        const isNear = ({failureDomain}: GroupedHost): boolean =>
+        assert.ok(chosen.length <= size.maxHosts);
+        assert.ok(chosen.length >= Math.min(count, size.minHosts));
+        const isNear = ({failureDomain}: HostLocation): boolean =>
           failureDomain === 'domain-0';
         const near = hosts.filter(isNear).length;
         const far = count - near;
         const chosenNear = chosen.filter(isNear).length;
-        assert.ok(chosenNear >= Math.min(near, size.most - size.leastFar));
-        assert.ok(chosen.length - chosenNear >= Math.min(far, size.leastFar));
+        assert.ok(
+          chosenNear >= Math.min(near, size.maxHosts - size.minOtherDomain),
+        );
+        assert.ok(
+          chosen.length - chosenNear >= Math.min(far, size.minOtherDomain),
+        );
       }),
       RUN_OPTIONS,
     );
--- a/packages/decisions/tests/host_view.test.ts
+++ b/packages/decisions/tests/host_view.test.ts
@@ -2,11 +2,11 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
-  ChangeQueue,
+  GossipQueue,
   HostView,
   ProbeSchedule,
   ReaderReports,
-  type HostChange,
+  type HostUpdate,
   type HostRecord,
   type HostState,
   type ReaderReport,
@@ -29,7 +29,7 @@
 function createChange(
   record: HostRecord,
   isSuspected = false,
-): HostChange<string> {
+): HostUpdate<string> {
   return {record, isSuspected, place: `place of ${record.name}`};
 }
 
@@ -45,7 +45,7 @@
     view.accept(createChange(createRecord('b', 1, 1)), 0);
     view.accept(createChange(createRecord('c', 1, 1, 'leaving')), 0);
     assert.equal(view.listServing().length, 2);
-    assert.equal(view.markSilent('a', 10), true);
+    assert.equal(view.markSuspected('a', 10), true);
     const names = view.listServing().map(({record}) => record.name);
     assert.deepEqual(names, ['b']);
   });
@@ -54,7 +54,7 @@
     const view = createView();
     view.accept(createChange(createRecord('a', 1, 1)), 0);
     view.accept(createChange(createRecord('b', 1, 1, 'leaving')), 0);
-    for (const name of ['a', 'b']) view.markSilent(name, 0);
+    for (const name of ['a', 'b']) view.markSuspected(name, 0);
     assert.equal(view.listServing().length, 1);
     assert.deepEqual(view.dropLost(101), []);
     assert.equal(view.find('a')?.standing, 'lost');
@@ -131,10 +131,10 @@
   it('takes no word of a new life for one of the life before', () => {
     const view = createView();
     view.accept(createChange(createRecord('a', 1, 3)), 0);
-    view.markSilent('a', 0);
-    assert.equal(view.markHeard(createRecord('a', 2, 1), 1), false);
+    view.markSuspected('a', 0);
+    assert.equal(view.markAlive(createRecord('a', 2, 1), 1), false);
     assert.equal(view.find('a')?.standing, 'suspected');
-    assert.equal(view.markHeard(createRecord('a', 1, 3), 2), true);
+    assert.equal(view.markAlive(createRecord('a', 1, 3), 2), true);
   });
 
   it('has the same hash where the same records are known', () => {
@@ -149,9 +149,9 @@
     const one = fill(names);
     const other = fill([...names].reverse());
     assert.equal(one.recordsHash, other.recordsHash);
-    other.markSilent('b', 0);
+    other.markSuspected('b', 0);
     assert.notEqual(one.recordsHash, other.recordsHash);
-    other.markHeard(createRecord('b', 1, 1), 1);
+    other.markAlive(createRecord('b', 1, 1), 1);
     assert.equal(one.recordsHash, other.recordsHash);
   });
 });
@@ -192,7 +192,7 @@
 
 describe('the changes that are told', () => {
   it('go out a few times each, the least told first, as far as they fit', () => {
-    const queue = new ChangeQueue();
+    const queue = new GossipQueue();
     for (const name of ['a', 'b', 'c']) queue.add(name);
     const taken: string[] = [];
     for (let at = 0; at < 100; at++) taken.push(...queue.take(2, 7, () => 1));
--- a/packages/decisions/tests/limits.test.ts
+++ b/packages/decisions/tests/limits.test.ts
@@ -4,7 +4,7 @@
 import {SeededRandom} from '@irisdock/kernel';
 import {
   chooseAddresses,
-  chooseDutyHosts,
+  chooseLeaderCandidates,
   computeRetryAfter,
   GapStatistics,
   LEASE_TIMES,
@@ -301,8 +301,12 @@
     const ids = fc.uniqueArray(fc.string(), {maxLength: 20});
     fc.assert(
       fc.property(ids, fc.nat(5), (hostIds, count) => {
-        const chosen = chooseDutyHosts('orders', hostIds, count);
-        const turned = chooseDutyHosts('orders', [...hostIds].reverse(), count);
+        const chosen = chooseLeaderCandidates('orders', hostIds, count);
+        const turned = chooseLeaderCandidates(
+          'orders',
+          [...hostIds].reverse(),
+          count,
+        );
         assert.deepEqual(chosen, turned);
         assert.equal(chosen.length, Math.min(count, hostIds.length));
       }),
--- a/packages/gateway/src/model/peer_codec.ts
+++ b/packages/gateway/src/model/peer_codec.ts
@@ -5,7 +5,7 @@
 import {decode, encode} from '@msgpack/msgpack';
 import type {
   Crash,
-  HostChange,
+  HostUpdate,
   HostRecord,
   ReaderReport,
 } from '@irisdock/decisions';
@@ -157,7 +157,7 @@
       place: fields.readOptionalTuple(readPlace),
       asker: fields.readOptionalText(),
       target: fields.readOptionalText(),
-      changes: fields.readList(readChange),
+      updates: fields.readList(readChange),
       recordsHash: fields.readNumber(),
     },
     revisions: fields.readTuple((revisions) => ({
@@ -189,7 +189,7 @@
   };
 }
 
-function readChange(fields: TupleReader): HostChange<PeerPlace> {
+function readChange(fields: TupleReader): HostUpdate<PeerPlace> {
   return {
     record: fields.readTuple(readRecord),
     isSuspected: fields.readFlag(),
@@ -327,7 +327,7 @@
     listPlace(watch.place),
     watch.asker,
     watch.target,
-    watch.changes.map(({record, isSuspected, place}) => [
+    watch.updates.map(({record, isSuspected, place}) => [
       listRecord(record),
       isSuspected,
       listPlace(place),
--- a/packages/gateway/src/model/peer_message.ts
+++ b/packages/gateway/src/model/peer_message.ts
@@ -6,7 +6,7 @@
   Crash,
   ReaderReport,
   RolloutPhase,
-  WatchMessage,
+  GossipMessage,
 } from '@irisdock/decisions';
 import type {
   LimitsDatagram,
@@ -45,7 +45,7 @@
 /** By which hosts keep track of each other. */
 export interface WatchDatagram {
   readonly kind: 'watch';
-  readonly watch: WatchMessage<PeerPlace>;
+  readonly watch: GossipMessage<PeerPlace>;
   readonly revisions: TableRevisions;
   readonly reports: readonly ReaderReport[];
   /** The sender's steady clock, in ms. */
--- a/packages/gateway/src/services/directory.ts
+++ b/packages/gateway/src/services/directory.ts
@@ -3,7 +3,7 @@
  * whether this host takes callers.
  */
 import {createServer, type ServerResponse} from 'node:http';
-import {chooseHosts, type AnswerSize} from '@irisdock/decisions';
+import {chooseHosts, type AnswerLimits} from '@irisdock/decisions';
 import {
   createService,
   createServiceKey,
@@ -23,7 +23,11 @@
  * connection, so one in eight or so goes to another failure domain than their
  * own; a deployment of up to 16 hosts is told whole.
  */
-const ANSWER_SIZE: AnswerSize = {most: 64, leastFar: 5, least: 16};
+const ANSWER_SIZE: AnswerLimits = {
+  maxHosts: 64,
+  minOtherDomain: 5,
+  minHosts: 16,
+};
 
 const SETTINGS = z.object({
   listen: IP_PORT_SCHEMA.meta({
--- a/packages/gateway/src/services/endpoint_uses.ts
+++ b/packages/gateway/src/services/endpoint_uses.ts
@@ -2,7 +2,7 @@
  * What runs on endpoints, as this host tells it and as others tell it: goes
  * between the records of endpoints and what hosts say to each other.
  */
-import type {HousedEngine} from '@irisdock/decisions';
+import type {EngineLocation} from '@irisdock/decisions';
 import type {ToldUse} from '../model/peer_message.js';
 import type {EndpointUse} from '../serving/endpoint_record.js';
 import type {GatewayEndpoints} from './gateway_endpoints.js';
@@ -25,7 +25,7 @@
     return this.endpoints.version;
   }
 
-  listHoused(): readonly HousedEngine[] {
+  listHoused(): readonly EngineLocation[] {
     return [...this.endpoints.listAll()];
   }
 
--- a/packages/gateway/src/services/engine_groups.ts
+++ b/packages/gateway/src/services/engine_groups.ts
@@ -4,11 +4,11 @@
  * only when one of the two has changed.
  */
 import {
-  createHomes,
+  computeHomeGroups,
   createHostGroups,
   type HostGroup,
   type HostView,
-  type HousedEngine,
+  type EngineLocation,
   type KnownHost,
 } from '@irisdock/decisions';
 import {getShuffled, type Random} from '@irisdock/kernel';
@@ -18,7 +18,7 @@
 export interface EngineList {
   /** Differs whenever the engines do. */
   readonly version: number;
-  listHoused(): readonly HousedEngine[];
+  listHoused(): readonly EngineLocation[];
 }
 
 interface Homes {
@@ -98,7 +98,7 @@
     }
     const groups = createHostGroups(hosts);
     const group = groups.find(({names}) => names.includes(this.ownName));
-    const homes = createHomes(groups, this.engines.listHoused());
+    const homes = computeHomeGroups(groups, this.engines.listHoused());
     this.known = {recordsHash, version, groups, group, homes};
     return this.known;
   }
--- a/packages/gateway/src/services/host_tracker.ts
+++ b/packages/gateway/src/services/host_tracker.ts
@@ -5,12 +5,12 @@
  */
 import {
   hashText,
-  HostWatch,
+  FailureDetector,
   ReaderReports,
   SuspensionWatch,
   type HostRecord,
   type HostView,
-  type OutgoingWatch,
+  type OutgoingGossip,
 } from '@irisdock/decisions';
 import type {Clock, Logger, Random} from '@irisdock/kernel';
 import type {PeerTableSource} from '../tables/peer_table_source.js';
@@ -76,7 +76,7 @@
   getState: () => PeerState = () => 'starting';
   readonly standing: StoreStanding;
   readonly loader: PeerTableLoader;
-  private readonly watch: HostWatch<PeerPlace>;
+  private readonly watch: FailureDetector<PeerPlace>;
   private readonly reports = new ReaderReports();
   private readonly suspension = new SuspensionWatch();
   private readonly closing = new AbortController();
@@ -101,7 +101,7 @@
       state: 'starting',
       isStoreAway: false,
     };
-    this.watch = new HostWatch(
+    this.watch = new FailureDetector(
       record,
       place,
       TIMES,
@@ -115,7 +115,7 @@
       clock,
       log,
       (changes) => {
-        this.watch.acceptList(changes, clock.getNow());
+        this.watch.acceptHostList(changes, clock.getNow());
         this.planFresh();
       },
     );
@@ -177,7 +177,7 @@
     this.updateOwn(now);
     this.standing.updateReading(this.isAlone);
     this.sendWatch(this.watch.startBeat(now), now);
-    for (const host of this.watch.takeSilent()) {
+    for (const host of this.watch.takeNewlySuspected()) {
       this.parts.log.writeInfo('A host does not answer.', {host});
     }
     for (const host of this.view.dropLost(now)) {
@@ -193,7 +193,7 @@
   publishState(): void {
     const now = this.parts.clock.getNow();
     this.updateOwn(now);
-    this.sendWatch(this.watch.startNotices(), now);
+    this.sendWatch(this.watch.createNotices(), now);
   }
 
   /** Takes a message of another host. */
@@ -243,7 +243,7 @@
 
   /** Tells of fresh changes in a moment. */
   private planFresh(): void {
-    if (!this.watch.isFresh || this.isFreshPlanned) return;
+    if (!this.watch.hasUrgentUpdates || this.isFreshPlanned) return;
     this.isFreshPlanned = true;
     void this.sendFresh();
   }
@@ -256,10 +256,10 @@
     if (signal.aborted) return;
     this.isFreshPlanned = false;
     this.freshAt = clock.getNow();
-    this.sendWatch(this.watch.startNotices(), this.freshAt);
+    this.sendWatch(this.watch.createNotices(), this.freshAt);
   }
 
-  private sendWatch(sent: OutgoingWatch<PeerPlace>[], now: number): void {
+  private sendWatch(sent: OutgoingGossip<PeerPlace>[], now: number): void {
     if (sent.length === 0) return;
     const revisions = this.loader.listRevisions();
     const own = this.standing.createReport(this.view.ownRecord, now);
@@ -275,7 +275,7 @@
   private compareRecords(hash: number, tables: string, now: number): void {
     const isLike = hash === this.view.recordsHash;
     this.unlike = isLike ? 0 : this.unlike + 1;
-    if (this.unlike < MAX_UNLIKE || this.watch.isFresh) return;
+    if (this.unlike < MAX_UNLIKE || this.watch.hasUrgentUpdates) return;
     if (now - this.listAskedAt < LIST_EVERY_MS) return;
     this.listAskedAt = now;
     void this.loader.loadAll(tables);
--- a/packages/gateway/src/services/permit_grants.ts
+++ b/packages/gateway/src/services/permit_grants.ts
@@ -2,7 +2,7 @@
  * Hands out permits to all hosts for the endpoints whose issuer this host is.
  */
 import {
-  computePauseMs,
+  computePermitRetryDelayMs,
   NO_SENDS,
   PermitBucket,
   ReturnQueue,
@@ -76,7 +76,11 @@
       ...this.createAnswer(instanceId, ask, true),
       granted,
       waitMs,
-      pauseMs: computePauseMs(countAskers(permits, now), perSecond, waitMs),
+      pauseMs: computePermitRetryDelayMs(
+        countAskers(permits, now),
+        perSecond,
+        waitMs,
+      ),
       lastReturnMs: permits.returns.computeLastMs(now),
     };
     permits.given.set(ask.name, {incarnation, at: now, answer});
--- a/packages/gateway/src/serving/copy_keeper.ts
+++ b/packages/gateway/src/serving/copy_keeper.ts
@@ -4,7 +4,7 @@
  * when the stream was sent; when that standby is gone, the memory is copied to
  * another one by request, and again every while for what is new.
  */
-import {chooseBackup, type EngineRequest} from '@irisdock/decisions';
+import {chooseBackupEngine, type EngineRequest} from '@irisdock/decisions';
 import type {EngineCall, MemorySource} from '../model/request_terms.js';
 import type {EndpointRecord} from './endpoint_record.js';
 import type {EngineAnswer} from './engine_caller.js';
@@ -110,7 +110,7 @@
     const usable = listLive(this.parts, service).filter((engine) =>
       rollouts.isSameSide(engine, this.primary),
     );
-    return chooseBackup(usable, this.primary, this.engineRequest);
+    return chooseBackupEngine(usable, this.primary, this.engineRequest);
   }
 
   private async sendCopy(target: EndpointRecord): Promise<boolean> {
--- a/packages/gateway/src/serving/crash_records.ts
+++ b/packages/gateway/src/serving/crash_records.ts
@@ -6,7 +6,7 @@
   ContentVerdict,
   Crash,
   CrashLedger,
-  KnownContent,
+  ContentCrashes,
 } from '@irisdock/decisions';
 import type {Clock, Logger} from '@irisdock/kernel';
 import {formatCrashKey, isCrash} from '../model/crash_row.js';
@@ -89,7 +89,7 @@
   }
 
   /** Lists what is remembered. */
-  listContents(): KnownContent[] {
+  listContents(): ContentCrashes[] {
     return this.parts.ledger.listContents();
   }
 
--- a/packages/gateway/src/serving/stream_attempt.ts
+++ b/packages/gateway/src/serving/stream_attempt.ts
@@ -3,7 +3,7 @@
  * its events or to its loss. Only whole events leave it, each once.
  */
 import type {IncomingMessage} from 'node:http';
-import {EventSplitter, type WholeEvent} from '@irisdock/decisions';
+import {EventSplitter, type ServerSentEvent} from '@irisdock/decisions';
 import {findAnswerFault} from '../channels/answer_check.js';
 import type {
   EndpointAnswer,
@@ -49,7 +49,7 @@
   /** Takes the head of the answer, before the first events. */
   handleHead(status: number, lines: HeaderLines): void;
   /** Passes events on; resolves when more can be taken. */
-  handleEvents(events: readonly WholeEvent[]): Promise<void> | undefined;
+  handleEvents(events: readonly ServerSentEvent[]): Promise<void> | undefined;
 }
 
 /** From this status on an answer to a stream is no stream. */
--- a/packages/gateway/src/serving/stream_driver.ts
+++ b/packages/gateway/src/serving/stream_driver.ts
@@ -5,7 +5,7 @@
  * another failure domain; after a loss the stream goes on there, so that the
  * prompt need not be read again.
  */
-import {EventProgress, type WholeEvent} from '@irisdock/decisions';
+import {EventProgress, type ServerSentEvent} from '@irisdock/decisions';
 import type {KnownError, LogFields} from '@irisdock/kernel';
 import {GATEWAY_ERRORS} from '../errors.js';
 import type {HeaderLines} from '../model/request_terms.js';
@@ -252,7 +252,7 @@
   /** Passes events to the caller, each once and in order. */
   private passOn(
     plan: AttemptPlan,
-    events: readonly WholeEvent[],
+    events: readonly ServerSentEvent[],
     attempt: StreamAttempt,
   ): Promise<void> | undefined {
     const {exchange} = this.request;
@@ -263,7 +263,7 @@
       plan.endpoint.recordSuccess(undefined);
       this.evidence.recordFirst(plan.endpoint);
     }
-    const {fresh, hasGap} = this.progress.accept(events);
+    const {newEvents: fresh, hasGap} = this.progress.accept(events);
     if (hasGap) attempt.end('events are missing');
     const [first] = fresh;
     if (first === undefined) return undefined;
@@ -283,7 +283,7 @@
     const {endpoint} = plan;
     if (result.kind === 'ended') return;
     this.planner.recordEnd(endpoint, result.kind === 'lost');
-    this.progress.startAfterLoss();
+    this.progress.markFailover();
     this.lossDetail = getAttemptDetail(result);
     const hasRun = hasPerhapsRun(result);
     this.repeats.record(result);
--- a/packages/gateway/src/serving/stream_planner.ts
+++ b/packages/gateway/src/serving/stream_planner.ts
@@ -4,10 +4,10 @@
  * away from the engines and failure domains that were lost.
  */
 import {
-  chooseApart,
-  chooseBackup,
+  chooseIsolatedEngine,
+  chooseBackupEngine,
   chooseEngine,
-  decideFarCount,
+  decideRemoteEngineCount,
   type EngineRequest,
 } from '@irisdock/decisions';
 import {getSample} from '@irisdock/kernel';
@@ -116,7 +116,7 @@
     const request = this.createEngineRequest();
     const others = usable.filter((engine) => this.isOpen(engine, isHome));
     const keepers = others.filter((engine) => this.countKept(engine) > 0);
-    const count = decideFarCount(home, request);
+    const count = decideRemoteEngineCount(home, request);
     const drawn = getSample(others, count, random);
     const asked = new Set([...drawn, ...keepers]);
     if (asked.size === 0) {
@@ -156,7 +156,7 @@
       chooseEngine(usable, request);
     if (endpoint === undefined) return undefined;
     const backup = this.hasBackups()
-      ? chooseBackup(usable, endpoint, request)
+      ? chooseBackupEngine(usable, endpoint, request)
       : undefined;
     const memorySource = holder === undefined ? undefined : copy?.source;
     return {endpoint, backup, memorySource};
@@ -169,7 +169,7 @@
   ): EndpointRecord | undefined {
     const {content, parts} = this;
     if (parts.crashes.countCrashes(content) === 0) return undefined;
-    return chooseApart(usable, request, content);
+    return chooseIsolatedEngine(usable, request, content);
   }
 
   /** Takes an engine whose limit may be over; only for streams that begin. */
@@ -213,7 +213,7 @@
   /** Gives what the stream asks of an engine now. */
   createEngineRequest(): EngineRequest {
     return {
-      tokens: this.expectedTokens,
+      expectedTokens: this.expectedTokens,
       promptTokens: this.terms.promptTokens,
       excluded: this.held.size === 0 ? this.excluded : this.listExcluded(),
       avoidedDomains: this.avoidedDomains,
--- a/packages/gateway/src/tables/copy_checks.ts
+++ b/packages/gateway/src/tables/copy_checks.ts
@@ -3,7 +3,7 @@
  * no other host has vouched for in time (`copy_check.ts` of the decisions), and
  * tells the others what it showed, so that they need not ask too.
  */
-import {CopyCheck} from '@irisdock/decisions';
+import {ReplicaCheckSchedule} from '@irisdock/decisions';
 import type {Clock, Logger, Random} from '@irisdock/kernel';
 import {FOLLOWED_TABLES, type FollowedTable} from '../model/watched_table.js';
 import type {StoreStanding} from './store_standing.js';
@@ -31,10 +31,10 @@
 export class CopyChecks {
   private readonly closing = new AbortController();
   /** One for all tables: a store that fails for one is not asked for the next. */
-  private readonly check: CopyCheck;
+  private readonly check: ReplicaCheckSchedule;
 
   constructor(private readonly parts: CopyChecksParts) {
-    this.check = new CopyCheck(parts.random);
+    this.check = new ReplicaCheckSchedule(parts.random);
   }
 
   start(): void {
@@ -80,7 +80,7 @@
       this.check.recordFailure(clock.getNow());
       return;
     }
-    this.check.recordAnswer();
+    this.check.recordSuccess();
     this.parts.publish(table, news);
   }
 }
--- a/packages/gateway/src/tables/peer_table_loader.ts
+++ b/packages/gateway/src/tables/peer_table_loader.ts
@@ -6,7 +6,7 @@
 import {
   formatRevision,
   NewerSources,
-  type HostChange,
+  type HostUpdate,
   type TableReplica,
 } from '@irisdock/decisions';
 import type {Clock, Logger} from '@irisdock/kernel';
@@ -50,7 +50,7 @@
     private readonly clock: Clock,
     private readonly log: Logger,
     private readonly acceptHosts: (
-      changes: readonly HostChange<PeerPlace>[],
+      changes: readonly HostUpdate<PeerPlace>[],
     ) => void,
   ) {}
 
--- a/packages/gateway/src/tables/restore_settling.ts
+++ b/packages/gateway/src/tables/restore_settling.ts
@@ -3,7 +3,7 @@
  * rows again, so missing rows do not count as deleted until the table is read
  * once more at the end.
  */
-import {RETURN_GRACE_MS} from '@irisdock/decisions';
+import {RECOVERY_GRACE_MS} from '@irisdock/decisions';
 import type {Clock} from '@irisdock/kernel';
 
 /** Dependencies of the grace period. */
@@ -31,7 +31,7 @@
 
   /** Starts the grace period; restarts it on another restore. */
   start(now: number): void {
-    this.settlesAt = now + RETURN_GRACE_MS;
+    this.settlesAt = now + RECOVERY_GRACE_MS;
   }
 
   /** Plans a whole read of the store for its end. */
--- a/packages/gateway/src/tables/store_standing.ts
+++ b/packages/gateway/src/tables/store_standing.ts
@@ -84,7 +84,7 @@
     const {configuration, endpoints} = this.tables;
     if (!this.isReading) return undefined;
     this.reports++;
-    const delayMs = endpoints.contact.getDepartureDelay(now);
+    const delayMs = endpoints.contact.getDepartureDelayMs(now);
     return {
       name: own.name,
       incarnation: own.incarnation,
@@ -122,7 +122,7 @@
     const {endpoints} = this.tables;
     const told = this.readerReports.getDepartureDelayMs(now);
     if (!endpoints.isReading) return told ?? 0;
-    const own = endpoints.contact.getDepartureDelay(now);
+    const own = endpoints.contact.getDepartureDelayMs(now);
     return Math.min(own, told ?? own);
   }
 
--- a/packages/gateway/src/tables/table_follower.ts
+++ b/packages/gateway/src/tables/table_follower.ts
@@ -4,10 +4,10 @@
  * may bring the copy further while the store is away from this one.
  */
 import {
-  CopyAge,
+  ReplicaAge,
   getEra,
   ReaderTurns,
-  StoreContact,
+  StoreReachability,
   TableReplica,
   type ReaderPlace,
   type ReplicaRow,
@@ -39,8 +39,8 @@
 /** Follows one table. */
 export class TableFollower {
   readonly replica = new TableReplica();
-  readonly contact = new StoreContact();
-  private readonly age = new CopyAge();
+  readonly contact = new StoreReachability();
+  private readonly age = new ReplicaAge();
   private readonly channel = new Channel<readonly ReplicaRow[]>();
   /** Rows that are news, in the order of their changes. */
   readonly news = this.channel.stream;
@@ -80,7 +80,7 @@
 
   /** How long ago the copy was certainly the newest, in ms. */
   getAgeMs(now: number): number {
-    return this.age.getMs(now);
+    return this.age.getAgeMs(now);
   }
 
   /** The age from which this host asks the store itself, in ms. */
@@ -151,7 +151,10 @@
     if (!replica.isLoaded) return false;
     const at = this.clock.getNow() - ageMs;
     if (isTurn) this.turns.recordTold(at);
-    const isYounger = this.age.acceptWord({newest, at}, replica.lastChange);
+    const isYounger = this.age.acceptReport(
+      {latestRevision: newest, at},
+      replica.lastChange,
+    );
     if (newest > replica.lastChange) return false;
     // Nothing is missing up to there, so no history is needed before it.
     this.apply(revision, 'host', () => replica.applyChanges([], revision));
@@ -262,7 +265,7 @@
     // on their revision, and would find a gap at all other hosts.
     const taken = rows.filter((row) => row.revision > after);
     this.apply(revision, source, () => replica.applyChanges(rows, revision));
-    this.age.recordRead(this.clock.getNow());
+    this.age.recordStoreRead(this.clock.getNow());
     return {rows: taken, after, newest: replica.lastChange, revision};
   }
 
@@ -277,7 +280,7 @@
     this.apply(revision, 'store', () =>
       this.applyTable(rows, revision, 'store'),
     );
-    if (!lags) this.age.recordRead(this.clock.getNow());
+    if (!lags) this.age.recordStoreRead(this.clock.getNow());
     if (isRestored) this.publishNewest();
     return this.mustReload ? this.options.retryMs : 0;
   }
@@ -367,11 +370,11 @@
 
   private recordContact(now: number): void {
     if (this.contact.isAway) this.report.writeBack();
-    this.contact.recordAnswer(now);
+    this.contact.recordSuccess(now);
   }
 
   private publish(news: readonly ReplicaRow[], source: string): void {
-    this.age.recordHeld(this.replica.lastChange);
+    this.age.recordRevision(this.replica.lastChange);
     if (news.length === 0) return;
     this.report.writeChanged(news.length, this.replica.revision, source);
     this.channel.post(news);
--- a/packages/gateway/tests/engine_groups.test.ts
+++ b/packages/gateway/tests/engine_groups.test.ts
@@ -1,7 +1,7 @@
 /** Which hosts get what is for a group, for all groups, and for an engine. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {HostView, type HousedEngine} from '@irisdock/decisions';
+import {HostView, type EngineLocation} from '@irisdock/decisions';
 import {EngineGroups, type PeerPlace} from '@irisdock/gateway';
 import {SeededRandom} from '@irisdock/kernel';
 
@@ -43,7 +43,7 @@
   const view = createView(hosts);
   const random = new SeededRandom(4);
   const groups = new EngineGroups('host-0', createPlace(0), view, random);
-  const housed: HousedEngine[] = [];
+  const housed: EngineLocation[] = [];
   for (let at = 0; at < engines; at++) {
     const failureDomain = `domain-${at % DOMAINS}`;
     housed.push({instanceId: `i-${at}`, failureDomain});
--- a/packages/gateway/tests/peer_datagrams.test.ts
+++ b/packages/gateway/tests/peer_datagrams.test.ts
@@ -42,7 +42,7 @@
       place,
       asker: undefined,
       target: undefined,
-      changes: [
+      updates: [
         {record, isSuspected: true, place: undefined},
         {record, isSuspected: false, place},
       ],
@@ -68,7 +68,7 @@
   const datagrams: readonly PeerDatagram[] = [
     createWatch({}),
     createWatch({kind: 'relay', target: 'host-2', place: undefined}),
-    createWatch({kind: 'answer', asker: 'host-3', changes: []}),
+    createWatch({kind: 'answer', asker: 'host-3', updates: []}),
     {
       kind: 'uses',
       name: 'host-1',
--- a/scripts/crash_trials.mjs
+++ b/scripts/crash_trials.mjs
@@ -9,8 +9,8 @@
   [
     'crash: three are enough',
     LEDGER,
-    'REFUSED_FROM = 3',
-    'REFUSED_FROM = 99',
+    'REFUSAL_THRESHOLD = 3',
+    'REFUSAL_THRESHOLD = 99',
     TEST,
     'at one host once',
   ],
