--- a/bench/src/benches/stalls.ts
+++ b/bench/src/benches/stalls.ts
@@ -4,7 +4,7 @@
  * time for all. The decision alone, no processes.
  */
 import {SeededRandom} from '@irisdock/kernel';
-import {GapStatistics, STALL_BOUNDS} from '@irisdock/decisions';
+import {GapStatistics, DEFAULT_STALL_BOUNDS} from '@irisdock/decisions';
 import {createBench, type ResultRow} from '../bench.js';
 import {formatNumber} from '../statistics.js';
 
@@ -74,7 +74,7 @@
     let hasFixedAlarm = false;
     for (let token = 0; token < TOKENS; token++) {
       const gap = createGap(spread, random);
-      const {probeMs, lostMs} = statistics.getLimits(STALL_BOUNDS);
+      const {probeMs, lostMs} = statistics.getLimits(DEFAULT_STALL_BOUNDS);
       if (gap >= probeMs) probes++;
       hasTimeAlarm ||= gap >= probeMs;
       // The engine lives and answers its probe, so only the longer limit ends.
@@ -86,7 +86,7 @@
     timeAloneAlarms += Number(hasTimeAlarm);
     fixedAlarms += Number(hasFixedAlarm);
   }
-  const {probeMs, lostMs} = statistics.getLimits(STALL_BOUNDS);
+  const {probeMs, lostMs} = statistics.getLimits(DEFAULT_STALL_BOUNDS);
   const perThousand = (count: number): number =>
     formatNumber((count * 1000) / STREAMS, 1);
   return {
--- a/packages/daemon/src/answer/answer_driver.ts
+++ b/packages/daemon/src/answer/answer_driver.ts
@@ -298,9 +298,9 @@
       loss,
       mayHaveRun: record.mayHaveRun,
       mayContinue: this.mayContinue,
-      attaches: this.attaches,
+      attachAttempts: this.attaches,
       losses: this.losses,
-      budgetLeft,
+      hasRetryBudget: budgetLeft,
     });
     if (isCounted) this.losses++;
     if (response === 'abandon') return 'abandon';
--- a/packages/daemon/src/answer/engine_chooser.ts
+++ b/packages/daemon/src/answer/engine_chooser.ts
@@ -2,9 +2,9 @@
 import type {Random} from '@irisdock/kernel';
 import {
   chooseEndpoint,
-  computePlacement,
-  isAllowed,
-  type Placement,
+  computePlacementConstraints,
+  isDomainAllowed,
+  type PlacementConstraints,
 } from '@irisdock/decisions';
 import type {EndpointRecord} from '../endpoint/endpoint_record.js';
 import type {Configuration} from '../services/configuration.js';
@@ -38,7 +38,7 @@
   choose(options: ChoiceOptions): EndpointRecord | undefined {
     const {service, team} = this.request;
     const rules = this.configuration.listSpecs('placementRule');
-    const placement = computePlacement(rules, service, team);
+    const placement = computePlacementConstraints(rules, service, team);
     const records = this.listCandidates(placement);
     const blocks = this.getBlocks(records);
     const view = chooseEndpoint(
@@ -61,13 +61,13 @@
     return records.find((record) => record.address === view.address);
   }
 
-  private listCandidates(placement: Placement): EndpointRecord[] {
+  private listCandidates(placement: PlacementConstraints): EndpointRecord[] {
     const {service, spec, adapter} = this.request;
     return this.directory.listUsable(service).filter((record) => {
       const {models, adapters} = record.loaded;
       if (!models.includes(spec.modelVersion)) return false;
       if (adapter !== undefined && !adapters.includes(adapter)) return false;
-      return isAllowed(placement, record.failureDomain);
+      return isDomainAllowed(placement, record.failureDomain);
     });
   }
 
--- a/packages/daemon/src/answer/record_finder.ts
+++ b/packages/daemon/src/answer/record_finder.ts
@@ -6,7 +6,7 @@
 import {
   getTakeover,
   isRecordFit,
-  type ReadId,
+  type ParsedRequestId,
   type ResumeData,
 } from '@irisdock/decisions';
 import {err, ok, type Result} from 'neverthrow';
@@ -17,7 +17,7 @@
 
 /** A request as it comes from a caller. */
 export interface StreamAsk {
-  readonly id: ReadId;
+  readonly id: ParsedRequestId;
   readonly request: GenerationRequest;
   /** The offset of the first token that the caller still wants. */
   readonly fromOffset: number;
--- a/packages/daemon/src/answer/streams_settings.ts
+++ b/packages/daemon/src/answer/streams_settings.ts
@@ -1,5 +1,5 @@
 /** The settings of the service `streams`: how patient it is, and with whom. */
-import {STALL_BOUNDS} from '@irisdock/decisions';
+import {DEFAULT_STALL_BOUNDS} from '@irisdock/decisions';
 import * as z from 'zod';
 
 /** The settings. */
@@ -8,7 +8,7 @@
     .number()
     .int()
     .min(20)
-    .default(STALL_BOUNDS.minProbeMs)
+    .default(DEFAULT_STALL_BOUNDS.minProbeMs)
     .meta({
       unit: 'ms',
       description: 'The shortest silence after which an engine is asked.',
@@ -17,7 +17,7 @@
     .number()
     .int()
     .min(20)
-    .default(STALL_BOUNDS.maxProbeMs)
+    .default(DEFAULT_STALL_BOUNDS.maxProbeMs)
     .meta({
       unit: 'ms',
       description: 'The longest silence before an engine is asked.',
@@ -26,7 +26,7 @@
     .number()
     .int()
     .min(50)
-    .default(STALL_BOUNDS.minLostMs)
+    .default(DEFAULT_STALL_BOUNDS.minLostMs)
     .meta({
       unit: 'ms',
       description: 'The shortest silence that loses an engine that answers.',
@@ -35,7 +35,7 @@
     .number()
     .int()
     .min(100)
-    .default(STALL_BOUNDS.maxLostMs)
+    .default(DEFAULT_STALL_BOUNDS.maxLostMs)
     .meta({
       unit: 'ms',
       description: 'The longest silence of an engine that answers.',
--- a/packages/daemon/src/caller/completion_route.ts
+++ b/packages/daemon/src/caller/completion_route.ts
@@ -1,7 +1,7 @@
 /** `POST /v1/completions`: text in the OpenAI shape, streamed or whole. */
 import {err, ok, type Result} from 'neverthrow';
 import type {Clock, KnownError} from '@irisdock/kernel';
-import {hashToHex, readResumeData, type Signer} from '@irisdock/decisions';
+import {hashToHex, parseResumeData, type Signer} from '@irisdock/decisions';
 import type {GenerationSpec} from '@irisdock/resources';
 import {sendError, type WebRequest} from '@irisdock/web';
 import * as z from 'zod';
@@ -104,7 +104,7 @@
     const resume =
       resumeText === undefined
         ? ok(undefined)
-        : readResumeData(resumeText, signer);
+        : parseResumeData(resumeText, signer);
     if (resume.isErr()) return err(resume.error);
     const id = headers.requestId ?? this.parts.createOwnId();
     return ok({
--- a/packages/daemon/src/endpoint/service_gaps.ts
+++ b/packages/daemon/src/endpoint/service_gaps.ts
@@ -59,7 +59,7 @@
     const {promptChars, isResuming, leastMs, mostMs} = wait;
     const least = isResuming ? MIN_FIRST_TOKENS_RESUMING : MIN_FIRST_TOKENS;
     const isKnown = this.firstTokens.count >= least;
-    const usual = isKnown ? this.firstTokens.getUsual() : undefined;
+    const usual = isKnown ? this.firstTokens.getUpperBoundMs() : undefined;
     const unknownMs = isResuming ? leastMs * UNKNOWN_LEASTS : mostMs;
     const longestMs = usual === undefined ? unknownMs : mostMs;
     const sized =
--- a/packages/daemon/src/services/admission.ts
+++ b/packages/daemon/src/services/admission.ts
@@ -11,7 +11,7 @@
   type Random,
 } from '@irisdock/kernel';
 import {
-  computeRetryAfter,
+  computeRetryAfterSeconds,
   DECISION_ERRORS,
   FairQueue,
   WaitEstimate,
@@ -164,7 +164,7 @@
     }
     const used = this.teams.get(team) ?? 0;
     if (limit === 0 || used < limit) return undefined;
-    const retry = computeRetryAfter(1000, this.getSpread());
+    const retry = computeRetryAfterSeconds(1000, this.getSpread());
     return DAEMON_ERRORS.create('team_at_limit', {team, limit}, retry);
   }
 
@@ -238,7 +238,7 @@
       const now = this.parts.clock.getNow();
       gate.queue.takeHead(waiter.team);
       gate.waiting.delete(waiter.id);
-      gate.estimate.recordTaken(now);
+      gate.estimate.recordDequeue(now);
       const waitMs = now - waiting.since;
       waiting.reply(ok(this.admit(waiting.entry, endpoint, waitMs)));
       return true;
@@ -278,7 +278,7 @@
   private computeRetry(gate: Gate, fallbackMs: number): number {
     const now = this.parts.clock.getNow();
     const wait = gate.estimate.getWaitMs(gate.queue.size + 1, now);
-    return computeRetryAfter(wait ?? fallbackMs, this.getSpread());
+    return computeRetryAfterSeconds(wait ?? fallbackMs, this.getSpread());
   }
 
   private getSpread(): number {
--- a/packages/daemon/src/services/host_list.ts
+++ b/packages/daemon/src/services/host_list.ts
@@ -8,7 +8,7 @@
   createServiceKey,
   Repeater,
 } from '@irisdock/kernel';
-import {LeavingMemory} from '@irisdock/decisions';
+import {LeavingHoldDown} from '@irisdock/decisions';
 import type {ListedHost} from '@irisdock/storage';
 import type {Stream} from 'most';
 import * as z from 'zod';
@@ -45,8 +45,8 @@
     const {hosts} = context.find(PLATFORM);
     const channel = new Channel<readonly ListedHost[]>();
     // A host that came back at its address speaks for itself at once.
-    const entries = new LeavingMemory<ListedHost>(0);
-    const endpoints = new LeavingMemory<ListedHost>(settings.leavingHoldMs);
+    const entries = new LeavingHoldDown<ListedHost>(0);
+    const endpoints = new LeavingHoldDown<ListedHost>(settings.leavingHoldMs);
     const polls = new Repeater(
       (signal) => context.clock.wait(settings.pollMs, signal),
       async () => {
--- a/packages/daemon/src/services/membership.ts
+++ b/packages/daemon/src/services/membership.ts
@@ -10,13 +10,13 @@
   type Clock,
 } from '@irisdock/kernel';
 import {
-  decideServingRight,
+  decideServing,
   isChangeAllowed,
-  MEMBERSHIP_TIMES,
+  DEFAULT_MEMBERSHIP_TIMEOUTS,
   MembershipView,
   type ContactState,
   type MemberNote,
-  type ServingRight,
+  type ServingDecision,
 } from '@irisdock/decisions';
 import type {Stream} from 'most';
 import {Gauge} from 'prom-client';
@@ -56,12 +56,12 @@
 
   /** Takes it that a host's address refused a connection. */
   recordRefusal(hostId: string): void {
-    this.post(this.view.recordRefusal(hostId, this.clock.getNow()));
+    this.post(this.view.recordConnectionRefused(hostId, this.clock.getNow()));
   }
 
   /** Moves on with time. */
   update(): void {
-    this.post(this.view.update(this.clock.getNow()));
+    this.post(this.view.applyTimeouts(this.clock.getNow()));
   }
 
   /** Tells the others that this host is leaving. */
@@ -70,8 +70,8 @@
   }
 
   /** Decides whether this host may take new work. */
-  getRight(): ServingRight {
-    return decideServingRight(this.getContact());
+  getRight(): ServingDecision {
+    return decideServing(this.getContact());
   }
 
   /** Decides whether this host may accept changes. */
@@ -105,7 +105,7 @@
     .number()
     .int()
     .min(100)
-    .default(MEMBERSHIP_TIMES.suspectAfterMs)
+    .default(DEFAULT_MEMBERSHIP_TIMEOUTS.suspectAfterMs)
     .meta({
       unit: 'ms',
       description: 'Silence after which a host gets no more callers.',
@@ -114,7 +114,7 @@
     .number()
     .int()
     .min(100)
-    .default(MEMBERSHIP_TIMES.deadAfterMs)
+    .default(DEFAULT_MEMBERSHIP_TIMEOUTS.deadAfterMs)
     .meta({
       unit: 'ms',
       description: 'Suspicion after which a host counts as dead.',
@@ -123,7 +123,7 @@
     .number()
     .int()
     .min(100)
-    .default(MEMBERSHIP_TIMES.goneAfterMs)
+    .default(DEFAULT_MEMBERSHIP_TIMEOUTS.goneAfterMs)
     .meta({
       unit: 'ms',
       description: 'The same for one whose address refuses connections.',
@@ -152,7 +152,7 @@
       failureDomain,
       revision: 0,
     };
-    const times = {...MEMBERSHIP_TIMES, ...settings};
+    const times = {...DEFAULT_MEMBERSHIP_TIMEOUTS, ...settings};
     const api = new Membership(
       new MembershipView(own, times),
       context.find(CONFIGURATION),
--- a/packages/daemon/src/services/orders.ts
+++ b/packages/daemon/src/services/orders.ts
@@ -13,12 +13,12 @@
 } from '@irisdock/kernel';
 import {
   chooseDutyHosts,
-  LEASE_TIMES,
+  DEFAULT_LEASE_TIMINGS,
   LeaseState,
   planOrders,
   type LeaseRow,
   type PlannedOrder,
-  type WantedLoads,
+  type DesiredLoads,
 } from '@irisdock/decisions';
 import type {TableRow, TableService} from '@irisdock/storage';
 import {Counter, Gauge} from 'prom-client';
@@ -61,12 +61,15 @@
 
   constructor(private readonly parts: OrdersParts) {
     const {hostId, incarnation} = parts.host;
-    this.lease = new LeaseState(`${hostId} ${incarnation}`, LEASE_TIMES);
+    this.lease = new LeaseState(
+      `${hostId} ${incarnation}`,
+      DEFAULT_LEASE_TIMINGS,
+    );
   }
 
   /** Whether this host gives the orders now. */
   get isHolder(): boolean {
-    return this.lease.getFence(this.parts.clock.getNow()) !== undefined;
+    return this.lease.getFencingToken(this.parts.clock.getNow()) !== undefined;
   }
 
   /** Keeps the lease, then gives what orders are due. */
@@ -106,7 +109,7 @@
         fence: step.row.fence,
       });
     }
-    this.lease.recordWritten(step.row, writtenAt);
+    this.lease.recordWrite(step.row, writtenAt);
   }
 
   private listDue(): PlannedOrder[] {
@@ -125,9 +128,9 @@
     });
   }
 
-  private listWanted(): WantedLoads[] {
+  private listWanted(): DesiredLoads[] {
     const {configuration, directory, admission} = this.parts;
-    const wanted: WantedLoads[] = [];
+    const wanted: DesiredLoads[] = [];
     for (const {name} of configuration.listKind('service')) {
       const spec = configuration.findSpec('service', name);
       if (spec?.type !== 'generation') continue;
@@ -147,7 +150,7 @@
 
   private async send(order: PlannedOrder): Promise<void> {
     const {clock, directory, log, sent} = this.parts;
-    const fence = this.lease.getFence(clock.getNow());
+    const fence = this.lease.getFencingToken(clock.getNow());
     const engine = directory.find(order.address)?.clients.engine;
     if (fence === undefined || engine === undefined) return;
     const {action, target, address} = order;
--- a/packages/daemon/src/services/ownership.ts
+++ b/packages/daemon/src/services/ownership.ts
@@ -12,10 +12,10 @@
 import {
   createRequestId,
   decideOwner,
-  readRequestId,
+  parseRequestId,
   type MemberNote,
   type OwnerDecision,
-  type ReadId,
+  type ParsedRequestId,
 } from '@irisdock/decisions';
 import {err, ok, type Result} from 'neverthrow';
 import * as z from 'zod';
@@ -27,7 +27,7 @@
 
 /** What is known of a request when it arrives. */
 export interface Arrival {
-  readonly id: ReadId;
+  readonly id: ParsedRequestId;
   readonly repeatable: boolean;
   readonly resuming: boolean;
   readonly hasResumeData: boolean;
@@ -80,8 +80,8 @@
   }
 
   /** Reads an id that came with a request. */
-  readId(id: string): ReadId {
-    return readRequestId(id, this.host.signer);
+  readId(id: string): ParsedRequestId {
+    return parseRequestId(id, this.host.signer);
   }
 
   /** Decides what this host may do with a request. */
--- a/packages/daemon/src/services/peer_links.ts
+++ b/packages/daemon/src/services/peer_links.ts
@@ -141,7 +141,7 @@
     for (const note of view.listWatchTargets()) {
       targets.set(note.peerAddress, note.hostId);
     }
-    for (const address of view.listPeersToTry(MAX_TRIED, now)) {
+    for (const address of view.listReconnectPeers(MAX_TRIED, now)) {
       targets.set(address, '');
     }
     const watched = [...targets.values()].filter((hostId) => hostId !== '');
--- a/packages/daemon/src/services/plain_calls.ts
+++ b/packages/daemon/src/services/plain_calls.ts
@@ -11,11 +11,11 @@
 } from '@irisdock/kernel';
 import {
   chooseEndpoint,
-  computePlacement,
-  isAllowed,
-  RETRY_BUDGET,
+  computePlacementConstraints,
+  isDomainAllowed,
+  DEFAULT_RETRY_BUDGET,
   RetryBudget,
-  type ReadId,
+  type ParsedRequestId,
 } from '@irisdock/decisions';
 import type {PlainAnswer, PlainCall} from '@irisdock/endpoints';
 import type {PlainSpec} from '@irisdock/resources';
@@ -32,7 +32,7 @@
 
 /** A checked call. */
 export interface PlainAsk {
-  readonly id: ReadId;
+  readonly id: ParsedRequestId;
   readonly service: string;
   readonly spec: PlainSpec;
   readonly team: string;
@@ -62,7 +62,7 @@
 /** Passes calls on. */
 export class PlainCalls {
   private readonly ledger: RequestLedger<'sent'>;
-  private readonly budget = new RetryBudget(RETRY_BUDGET);
+  private readonly budget = new RetryBudget(DEFAULT_RETRY_BUDGET);
   private running = 0;
 
   constructor(private readonly parts: CallsParts) {
@@ -124,7 +124,7 @@
       choose: () => this.choose(ask, avoid),
     });
     if (admitted.isErr()) return err(admitted.error);
-    this.budget.addTry();
+    this.budget.addFirstAttempt();
     try {
       return await this.tryEndpoints(ask, admitted.value.endpoint, avoid);
     } finally {
@@ -194,10 +194,10 @@
   ): EndpointRecord | undefined {
     const {configuration, directory, random} = this.parts;
     const rules = configuration.listSpecs('placementRule');
-    const placement = computePlacement(rules, ask.service, ask.team);
+    const placement = computePlacementConstraints(rules, ask.service, ask.team);
     const records = directory
       .listUsable(ask.service)
-      .filter((record) => isAllowed(placement, record.failureDomain));
+      .filter((record) => isDomainAllowed(placement, record.failureDomain));
     const view = chooseEndpoint(
       records.map((record) => record.getView()),
       {
--- a/packages/daemon/src/services/streams.ts
+++ b/packages/daemon/src/services/streams.ts
@@ -9,7 +9,11 @@
   type Clock,
   type Random,
 } from '@irisdock/kernel';
-import {RETRY_BUDGET, RetryBudget, type Signer} from '@irisdock/decisions';
+import {
+  DEFAULT_RETRY_BUDGET,
+  RetryBudget,
+  type Signer,
+} from '@irisdock/decisions';
 import {err, ok, type Result} from 'neverthrow';
 import {Gauge} from 'prom-client';
 import {
@@ -53,7 +57,7 @@
 export class Streams {
   private readonly ledger: RequestLedger<RequestRecord>;
   private readonly finder: RecordFinder;
-  private readonly budget = new RetryBudget(RETRY_BUDGET);
+  private readonly budget = new RetryBudget(DEFAULT_RETRY_BUDGET);
   private running = 0;
 
   constructor(private readonly parts: StreamsParts) {
@@ -123,7 +127,7 @@
     const {parts, budget} = this;
     const {directory, configuration, random} = parts;
     const {request} = record;
-    budget.addTry();
+    budget.addFirstAttempt();
     const chooser = new EngineChooser(
       request,
       directory,
--- a/packages/decisions/src/limit_belief.ts
+++ b/packages/decisions/src/advertised_limit.ts
@@ -9,7 +9,7 @@
  */
 
 /** A limit as an endpoint named it. */
-export type NamedLimit =
+export type AdvertisedLimit =
   | {readonly kind: 'rate'; readonly perSecond: number}
   /** It names one, and what it says is no rate. */
   | {readonly kind: 'unreadable'};
@@ -38,8 +38,8 @@
 const UNREADABLE_PER_SECOND = 1;
 
 /** Gives the rate to be kept for a limit, by what was believed before. */
-export function decideRate(
-  named: NamedLimit,
+export function computeEnforcedRate(
+  named: AdvertisedLimit,
   before: number | undefined,
 ): number {
   if (named.kind === 'unreadable') return before ?? UNREADABLE_PER_SECOND;
--- a/packages/decisions/src/apart_placement.ts
+++ b/packages/decisions/src/apart_placement.ts
@@ -6,7 +6,7 @@
  * the sound ones among them looked like the one that ended it.
  */
 import type {EngineRequest, EngineView} from './engine_placement.js';
-import {sortByPreference} from './rendezvous.js';
+import {sortByRendezvousHash} from './rendezvous_hash.js';
 
 /** The part of the engines, those with the fewest streams, that it may take. */
 const TAKEN_PART = 0.25;
@@ -33,5 +33,5 @@
     .sort((a, b) => a.streams - b.streams);
   const count = Math.max(TAKEN_LEAST, Math.ceil(sorted.length * TAKEN_PART));
   const emptiest = sorted.slice(0, count).map(({engine}) => engine);
-  return sortByPreference(emptiest, content)[0];
+  return sortByRendezvousHash(emptiest, content)[0];
 }
--- a/packages/decisions/src/kept_prompt.ts
+++ b/packages/decisions/src/cached_prompt.ts
@@ -14,7 +14,7 @@
  *
  * @param kept Tokens that the engine keeps of each part, by the part's id.
  */
-export function computeKeptTokens(
+export function computeCachedTokens(
   prompt: readonly PromptPartView[],
   kept: ReadonlyMap<string, number>,
 ): number {
--- a/packages/decisions/src/engine_placement.ts
+++ b/packages/decisions/src/engine_placement.ts
@@ -18,7 +18,7 @@
  * domain, as whole domains are lost at once.
  */
 
-import {sortByPreference} from './rendezvous.js';
+import {sortByRendezvousHash} from './rendezvous_hash.js';
 
 /** An engine as one host sees it, with what other hosts told. */
 export interface EngineView {
@@ -84,7 +84,7 @@
     leastCost = cost;
     cheapest.push(engine);
   }
-  return sortByPreference(cheapest, request.promptKey)[0];
+  return sortByRendezvousHash(cheapest, request.promptKey)[0];
 }
 
 /**
--- a/packages/decisions/src/host_watch.ts
+++ b/packages/decisions/src/host_watch.ts
@@ -142,12 +142,12 @@
     const alive = this.view.listAlive();
     const byName = new Map(alive.map((host) => [host.record.name, host]));
     const count = this.countProbes(alive.length);
-    const plan = this.schedule.planBeat(byName, isTrusted, count);
+    const plan = this.schedule.planRound(byName, isTrusted, count);
     const sent: OutgoingWatch<P>[] = [];
-    for (const name of plan.silent) this.markSilent(name, now);
-    for (const name of plan.relayed) sent.push(...this.createRelays(name));
+    for (const name of plan.unresponsive) this.markSilent(name, now);
+    for (const name of plan.indirect) sent.push(...this.createRelays(name));
     for (const name of plan.probed) sent.push(...this.createProbe(name));
-    this.wasSilent = plan.relayed.length + plan.silent.length > 0;
+    this.wasSilent = plan.indirect.length + plan.unresponsive.length > 0;
     sent.push(...this.createRetry());
     return sent;
   }
--- a/packages/decisions/src/lease.ts
+++ b/packages/decisions/src/lease.ts
@@ -15,19 +15,19 @@
 }
 
 /** How long leases last, in milliseconds. */
-export interface LeaseTimes {
+export interface LeaseTimings {
   readonly leaseMs: number;
   /** How long before its end the holder stops. */
   readonly marginMs: number;
   /** The longest that an order may be on its way. */
-  readonly longestOrderMs: number;
+  readonly maxOrderMs: number;
 }
 
 /** The times unless settings say otherwise. */
-export const LEASE_TIMES: LeaseTimes = {
+export const DEFAULT_LEASE_TIMINGS: LeaseTimings = {
   leaseMs: 9000,
   marginMs: 3000,
-  longestOrderMs: 3000,
+  maxOrderMs: 3000,
 };
 
 /** What to do about the lease. */
@@ -43,7 +43,7 @@
 
   constructor(
     private readonly self: string,
-    private readonly times: LeaseTimes,
+    private readonly times: LeaseTimings,
   ) {}
 
   /** Decides from the row that a read begun at `now` gave. */
@@ -52,7 +52,7 @@
     if (row.holder === this.self) {
       const renewal = row.renewal + 1;
       // A host that let its lease lapse takes a new fencing number.
-      if (this.getFence(now) === undefined) {
+      if (this.getFencingToken(now) === undefined) {
         return this.createAcquire(row.fence, row.renewal);
       }
       return {step: 'renew', row: {...row, renewal}};
@@ -60,7 +60,7 @@
     if (this.seen === undefined || !isSame(this.seen.row, row)) {
       this.seen = {row, since: now};
     }
-    const {leaseMs, longestOrderMs} = this.times;
+    const {leaseMs, maxOrderMs: longestOrderMs} = this.times;
     if (now - this.seen.since < leaseMs + longestOrderMs) return {step: 'wait'};
     return this.createAcquire(row.fence, row.renewal);
   }
@@ -70,14 +70,14 @@
    *
    * @param begunAt When the write was begun; the lease counts from there.
    */
-  recordWritten(row: LeaseRow, begunAt: number): void {
+  recordWrite(row: LeaseRow, begunAt: number): void {
     this.seen = undefined;
     const until = begunAt + this.times.leaseMs - this.times.marginMs;
     this.held = {fence: row.fence, until};
   }
 
   /** Gives the fencing number while orders may be begun. */
-  getFence(now: number): number | undefined {
+  getFencingToken(now: number): number | undefined {
     if (this.held === undefined || now >= this.held.until) return undefined;
     return this.held.fence;
   }
--- a/packages/decisions/src/leaving_memory.ts
+++ b/packages/decisions/src/leaving_hold_down.ts
@@ -7,13 +7,13 @@
  */
 
 /** What the list says of one host. */
-export interface ListedState {
+export interface ListedAddress {
   readonly address: string;
   readonly state: 'leaving' | 'live';
 }
 
 /** Remembers who was seen leaving. */
-export class LeavingMemory<T extends ListedState> {
+export class LeavingHoldDown<T extends ListedAddress> {
   private readonly seenAt = new Map<string, number>();
 
   /** @param holdMs How long one that was seen leaving counts as leaving. */
--- a/packages/decisions/src/loss_response.ts
+++ b/packages/decisions/src/loss_response.ts
@@ -31,11 +31,11 @@
   /** Whether the request may be run again or continued elsewhere. */
   readonly mayContinue: boolean;
   /** Attaches to this engine since the last token passed on. */
-  readonly attaches: number;
+  readonly attachAttempts: number;
   /** Losses that count since the last token passed on. */
   readonly losses: number;
   /** Whether the retry budget has room. */
-  readonly budgetLeft: boolean;
+  readonly hasRetryBudget: boolean;
 }
 
 /** What to do next. */
@@ -59,13 +59,13 @@
   if (state.loss === 'superseded') return 'abandon';
   if (isWorthAttaching(state)) return 'attach';
   if (state.mayHaveRun && !state.mayContinue) return 'give_up_unknown';
-  if (state.losses >= MAX_LOSSES || !state.budgetLeft) {
+  if (state.losses >= MAX_LOSSES || !state.hasRetryBudget) {
     return state.mayHaveRun ? 'give_up_unknown' : 'give_up_not_run';
   }
   return 'continue';
 }
 
 function isWorthAttaching(state: LossState): boolean {
-  if (!state.mayHaveRun || state.attaches >= MAX_ATTACHES) return false;
+  if (!state.mayHaveRun || state.attachAttempts >= MAX_ATTACHES) return false;
   return state.loss === 'reset' || state.loss === 'gap';
 }
--- a/packages/decisions/src/member.ts
+++ b/packages/decisions/src/member.ts
@@ -27,7 +27,7 @@
 };
 
 /** Tells whether a note is news against what is known. */
-export function isNewer(note: MemberNote, known: MemberNote): boolean {
+export function isNewerNote(note: MemberNote, known: MemberNote): boolean {
   if (note.incarnation !== known.incarnation) {
     return note.incarnation > known.incarnation;
   }
--- a/packages/decisions/src/membership_view.ts
+++ b/packages/decisions/src/membership_view.ts
@@ -5,11 +5,11 @@
  * does not is dead after a while. What is news is passed on once.
  * docs/design/membership.md.
  */
-import {isNewer, type MemberNote, type MemberState} from './member.js';
+import {isNewerNote, type MemberNote, type MemberState} from './member.js';
 import {chooseWatchTargets} from './watch_targets.js';
 
 /** When silence becomes suspicion and suspicion certainty, in ms. */
-export interface MembershipTimes {
+export interface MembershipTimeouts {
   readonly suspectAfterMs: number;
   readonly deadAfterMs: number;
   /** The same for a suspect whose address refuses connections. */
@@ -19,7 +19,7 @@
 }
 
 /** The times unless settings say otherwise. */
-export const MEMBERSHIP_TIMES: MembershipTimes = {
+export const DEFAULT_MEMBERSHIP_TIMEOUTS: MembershipTimeouts = {
   suspectAfterMs: 2500,
   deadAfterMs: 3000,
   goneAfterMs: 1000,
@@ -48,7 +48,7 @@
 
   constructor(
     private own: MemberNote,
-    private readonly times: MembershipTimes,
+    private readonly times: MembershipTimeouts,
   ) {}
 
   /** The note that this host gives of itself. */
@@ -118,7 +118,7 @@
    * list shows and nobody spoke of, and those of dead hosts, as two sides of
    * a partition hold each other for dead. They take turns.
    */
-  listPeersToTry(count: number, now: number): string[] {
+  listReconnectPeers(count: number, now: number): string[] {
     const known = new Set(this.list().map((note) => note.peerAddress));
     const unknown = [...this.listed].filter((address) => !known.has(address));
     const dead = this.list().filter((note) => note.state === 'dead');
@@ -149,7 +149,7 @@
    * there, which a host that is slow, frozen or cut off cannot bring about.
    * It is suspect at once, and has less time to contradict.
    */
-  recordRefusal(hostId: string, now: number): MemberNote[] {
+  recordConnectionRefused(hostId: string, now: number): MemberNote[] {
     const member = this.members.get(hostId);
     if (member === undefined || member.note.state === 'dead') return [];
     if (now < member.refusalsFrom) return [];
@@ -179,7 +179,7 @@
   }
 
   /** Moves on with time; gives the notes that are news. */
-  update(now: number): MemberNote[] {
+  applyTimeouts(now: number): MemberNote[] {
     const news: MemberNote[] = [];
     for (const [hostId, member] of [...this.members]) {
       const next = this.findNextState(member, now);
@@ -196,7 +196,7 @@
       this.members.set(note.hostId, {note, ...fresh});
       return note;
     }
-    if (!isNewer(note, member.note)) return undefined;
+    if (!isNewerNote(note, member.note)) return undefined;
     // A new incarnation is given the whole time to be heard.
     if (note.incarnation !== member.note.incarnation) {
       this.heardAt.delete(note.hostId);
--- a/packages/decisions/src/naive/naive_route.ts
+++ b/packages/decisions/src/naive/naive_route.ts
@@ -1,8 +1,8 @@
 /** The route of a request by looking at every route. */
-import type {RoutePlace} from '../route_table.js';
+import type {RouteKey} from '../route_table.js';
 
 /** Finds the route with the longest prefix, one route after the other. */
-export function findRouteNaively<R extends RoutePlace>(
+export function findRouteNaively<R extends RouteKey>(
   routes: readonly R[],
   hostName: string,
   path: string,
--- a/packages/decisions/src/order_plan.ts
+++ b/packages/decisions/src/order_plan.ts
@@ -13,7 +13,7 @@
 }
 
 /** What a service's endpoints should have. */
-export interface WantedLoads {
+export interface DesiredLoads {
   readonly service: string;
   readonly models: readonly string[];
   readonly adapters: readonly string[];
@@ -37,7 +37,7 @@
 
 /** Plans at most `maxLoads` loads; drops follow once loads are done. */
 export function planOrders(
-  wanted: readonly WantedLoads[],
+  wanted: readonly DesiredLoads[],
   maxLoads: number,
 ): PlannedOrder[] {
   const byNeed = [...wanted].sort(
@@ -50,12 +50,12 @@
 }
 
 /** Demand per endpoint that is ready; a service with none is first. */
-function computeNeed(wanted: WantedLoads): number {
+function computeNeed(wanted: DesiredLoads): number {
   const ready = wanted.endpoints.filter((e) => isReady(e, wanted)).length;
   return (wanted.demand + 1) / (ready === 0 ? 1e-3 : ready);
 }
 
-function planLoads(wanted: WantedLoads): PlannedOrder[] {
+function planLoads(wanted: DesiredLoads): PlannedOrder[] {
   const orders: PlannedOrder[] = [];
   for (const endpoint of listTargets(wanted)) {
     const {address} = endpoint;
@@ -71,7 +71,7 @@
   return orders;
 }
 
-function planDrops(wanted: WantedLoads): PlannedOrder[] {
+function planDrops(wanted: DesiredLoads): PlannedOrder[] {
   const targets = new Set(listTargets(wanted));
   const orders: PlannedOrder[] = [];
   for (const endpoint of wanted.endpoints) {
@@ -90,7 +90,7 @@
 }
 
 /** Those that have it already go first, so that little is moved. */
-function listTargets(wanted: WantedLoads): LoadedEndpoint[] {
+function listTargets(wanted: DesiredLoads): LoadedEndpoint[] {
   const sorted = [...wanted.endpoints].sort((a, b) => {
     const ready = Number(isReady(b, wanted)) - Number(isReady(a, wanted));
     return ready !== 0 ? ready : a.address < b.address ? -1 : 1;
@@ -99,7 +99,7 @@
   return replicas === 0 ? sorted : sorted.slice(0, replicas);
 }
 
-function isReady(endpoint: LoadedEndpoint, wanted: WantedLoads): boolean {
+function isReady(endpoint: LoadedEndpoint, wanted: DesiredLoads): boolean {
   return (
     wanted.models.every((name) => endpoint.models.includes(name)) &&
     wanted.adapters.every((name) => endpoint.adapters.includes(name))
--- a/packages/decisions/src/pause_request.ts
+++ b/packages/decisions/src/pause_request.ts
@@ -39,7 +39,7 @@
  *
  * @param part A random part, from 0 to 1.
  */
-export function computePauseReturnMs(
+export function computeRetryDelayMs(
   end: number,
   now: number,
   part: number,
--- a/packages/decisions/src/permit_bucket.ts
+++ b/packages/decisions/src/permit_bucket.ts
@@ -10,16 +10,16 @@
  */
 
 /** What a send is for, the most urgent first. */
-export const SEND_USES = ['begun', 'usual', 'aside'] as const;
+export const SEND_PRIORITIES = ['begun', 'usual', 'aside'] as const;
 /**
  * `begun`: goes on with an answer of which a caller has a part. `usual`: a caller's
  * request. `aside`: what callers can do without for a while, such as a copy of a
  * run's memory, or the question whether an endpoint still works on a request.
  */
-export type SendUse = (typeof SEND_USES)[number];
+export type SendPriority = (typeof SEND_PRIORITIES)[number];
 
 /** A number of sends of each use. */
-export type SendCounts = Readonly<Record<SendUse, number>>;
+export type SendCounts = Readonly<Record<SendPriority, number>>;
 
 /** No send of any use. */
 export const NO_SENDS: SendCounts = {begun: 0, usual: 0, aside: 0};
@@ -41,7 +41,7 @@
  */
 const MOST_BORROWED = 2;
 /** What has to be left for each use once its permit is taken. */
-const LEAST_LEFT: Readonly<Record<SendUse, number>> = {
+const LEAST_LEFT: Readonly<Record<SendPriority, number>> = {
   begun: -MOST_BORROWED,
   usual: 0,
   aside: 1,
@@ -59,7 +59,7 @@
   take(wanted: SendCounts, perSecond: number, now: number): PermitGrant {
     this.update(perSecond, now);
     const granted = {...NO_SENDS};
-    for (const use of SEND_USES) {
+    for (const use of SEND_PRIORITIES) {
       const free = Math.floor(this.tokens - LEAST_LEFT[use]);
       granted[use] = Math.max(0, Math.min(wanted[use], free));
       this.tokens -= granted[use];
--- a/packages/decisions/src/permit_issuer.ts
+++ b/packages/decisions/src/permit_issuer.ts
@@ -29,7 +29,7 @@
   /** Those that are alive and stay, this one too if it does. */
   readonly names: readonly string[];
   /** All that may be alive, this one too: those that fell silent of late. */
-  readonly mayLive: number;
+  readonly possiblyAlive: number;
 }
 
 /**
@@ -41,7 +41,7 @@
 
 /** Knows the issuers of each endpoint. */
 export class PermitIssuers {
-  private hosts: IssuerHosts = {names: [], mayLive: 1};
+  private hosts: IssuerHosts = {names: [], possiblyAlive: 1};
   /** The hosts in the order of each endpoint, by instance id. */
   private orders = new Map<string, readonly string[]>();
 
@@ -71,12 +71,12 @@
   }
 
   /** Gives the part of the limit that this host may give; 0 for none. */
-  computePart(instanceId: string, perSecond: number, now: number): number {
+  computeShare(instanceId: string, perSecond: number, now: number): number {
     if (now - this.startedAt < START_MS) return 0;
     const count = this.countIssuers(perSecond);
     const place = this.getOrder(instanceId).indexOf(this.ownName);
     if (place === -1 || place >= count) return 0;
-    const {names, mayLive} = this.hosts;
+    const {names, possiblyAlive: mayLive} = this.hosts;
     const heard = names.length / Math.max(1, mayLive);
     const part = heard > 1 / 2 ? 1 : heard * MINOR_SIDE_PART;
     return part / count;
--- a/packages/decisions/src/placement.ts
+++ b/packages/decisions/src/placement.ts
@@ -2,7 +2,7 @@
 import type {PlacementRuleSpec} from '@irisdock/resources';
 
 /** What the rules come to for one service and team. */
-export interface Placement {
+export interface PlacementConstraints {
   /** Domains that are allowed; absent is all. */
   readonly required: ReadonlySet<string> | undefined;
   readonly avoided: ReadonlySet<string>;
@@ -10,11 +10,11 @@
 }
 
 /** Combines the rules that hold for a service and a team. */
-export function computePlacement(
+export function computePlacementConstraints(
   rules: Iterable<PlacementRuleSpec>,
   service: string,
   team: string,
-): Placement {
+): PlacementConstraints {
   let required: Set<string> | undefined;
   const avoided = new Set<string>();
   const preferred = new Set<string>();
@@ -31,7 +31,10 @@
 }
 
 /** Tells whether a request may run in a failure domain. */
-export function isAllowed(placement: Placement, domain: string): boolean {
+export function isDomainAllowed(
+  placement: PlacementConstraints,
+  domain: string,
+): boolean {
   if (placement.avoided.has(domain)) return false;
   return placement.required?.has(domain) ?? true;
 }
--- a/packages/decisions/src/plain_placement.ts
+++ b/packages/decisions/src/plain_endpoint_choice.ts
@@ -4,7 +4,7 @@
  */
 
 /** An endpoint of a plain service as one host sees it. */
-export interface PlainView {
+export interface PlainEndpointView {
   readonly instanceId: string;
   /** Calls that run or wait there. */
   readonly calls: number;
@@ -21,7 +21,7 @@
 const SPREAD = 0.3;
 
 /** Chooses an endpoint; undefined when all are excluded. */
-export function choosePlainEndpoint<V extends PlainView>(
+export function choosePlainEndpoint<V extends PlainEndpointView>(
   endpoints: Iterable<V>,
   excluded: ReadonlySet<string>,
   getSpread: () => number,
@@ -38,7 +38,7 @@
   return best;
 }
 
-function computePlainCost(endpoint: PlainView): number {
+function computePlainCost(endpoint: PlainEndpointView): number {
   const {calls, slots, answerMs, failureScore} = endpoint;
   const rounds = 1 + (2 * calls) / Math.max(1, slots);
   return answerMs * rounds * (1 + FAILURE_COST * failureScore);
--- a/packages/decisions/src/reader_turns.ts
+++ b/packages/decisions/src/poll_stagger.ts
@@ -7,9 +7,9 @@
  */
 
 /** A place among the hosts that read for all. */
-export interface ReaderPlace {
+export interface ReaderRank {
   /** From 0; who comes first reads soonest after a change. */
-  readonly place: number;
+  readonly rank: number;
   /** How many read. */
   readonly count: number;
 }
@@ -20,7 +20,7 @@
 const SHIFT_PART = 0.5;
 
 /** The turns of one reader. */
-export class ReaderTurns {
+export class PollStagger {
   /** Whether the next wait is the first after a change, a failure or a new place. */
   private isFirst = true;
   private pauseMs = 0;
@@ -31,7 +31,7 @@
   constructor(private readonly turnMs: number) {}
 
   /** Takes it that another reader had an answer. */
-  recordTold(at: number): void {
+  recordPeerAnswer(at: number): void {
     this.toldAt = Math.max(this.toldAt, at);
   }
 
@@ -40,13 +40,13 @@
    *
    * @param pauseMs How long this one pauses before.
    */
-  startAnew(pauseMs: number): void {
+  startCycle(pauseMs: number): void {
     this.isFirst = true;
     this.pauseMs = pauseMs;
   }
 
   /** Gives how long the store may wait, in whole ms, as it takes no parts. */
-  takeWaitMs({place, count}: ReaderPlace, now: number): number {
+  takePollWaitMs({rank: place, count}: ReaderRank, now: number): number {
     const {isFirst, turnMs} = this;
     this.isFirst = false;
     const turns = isFirst ? place + 1 : count;
--- a/packages/decisions/src/probe_schedule.ts
+++ b/packages/decisions/src/probe_schedule.ts
@@ -11,13 +11,13 @@
 import {getShuffled, type Random} from '@irisdock/kernel';
 
 /** What is to be done in a beat. */
-export interface BeatPlan {
+export interface ProbeRound {
   /** Hosts that are asked. */
   readonly probed: readonly string[];
   /** Hosts that are asked through others as well. */
-  readonly relayed: readonly string[];
+  readonly indirect: readonly string[];
   /** Hosts that did not answer. */
-  readonly silent: readonly string[];
+  readonly unresponsive: readonly string[];
 }
 
 /** Beats without an answer after which a host is asked through others. */
@@ -41,11 +41,11 @@
    *     up itself or hears nobody, silence says nothing of others.
    * @param count How many hosts are asked for the first time.
    */
-  planBeat(
+  planRound(
     alive: ReadonlyMap<string, unknown>,
     isTrusted: boolean,
     count: number,
-  ): BeatPlan {
+  ): ProbeRound {
     // Whoever was asked before is asked anew, from the start.
     if (!isTrusted) this.waiting.clear();
     const probed: string[] = [];
@@ -69,7 +69,7 @@
       this.waiting.set(next, 0);
       probed.push(next);
     }
-    return {probed, relayed, silent};
+    return {probed, indirect: relayed, unresponsive: silent};
   }
 
   /** Takes it that a host answered, or was heard otherwise. */
--- a/packages/decisions/src/rendezvous.ts
+++ b/packages/decisions/src/rendezvous_hash.ts
@@ -12,7 +12,7 @@
 }
 
 /** Lists the engines, the most preferred first. */
-export function sortByPreference<E extends NamedEngine>(
+export function sortByRendezvousHash<E extends NamedEngine>(
   engines: readonly E[],
   key: string,
 ): E[] {
--- a/packages/decisions/src/request_id.ts
+++ b/packages/decisions/src/request_id.ts
@@ -16,7 +16,7 @@
 }
 
 /** A request id: minted, chosen by the caller, or forged. */
-export type ReadId =
+export type ParsedRequestId =
   | {readonly origin: 'caller'; readonly id: string}
   | {readonly origin: 'forged'; readonly id: string}
   | {readonly origin: 'minted'; readonly id: string; readonly minted: MintedId};
@@ -41,7 +41,7 @@
 }
 
 /** Reads an id and verifies its signature. */
-export function readRequestId(id: string, signer: Signer): ReadId {
+export function parseRequestId(id: string, signer: Signer): ParsedRequestId {
   const parts = id.split(SEPARATOR);
   if (parts[0] !== PREFIX) return {origin: 'caller', id};
   const [, hostId, incarnation, mintedAt, serial, signature] = parts;
@@ -52,7 +52,7 @@
     return {origin: 'forged', id};
   }
   const body = parts.slice(0, -1).join(SEPARATOR);
-  if (signature === undefined || !signer.isSigned(body, signature)) {
+  if (signature === undefined || !signer.hasValidSignature(body, signature)) {
     return {origin: 'forged', id};
   }
   const minted = {
--- a/packages/decisions/src/request_owner.ts
+++ b/packages/decisions/src/request_owner.ts
@@ -3,11 +3,11 @@
  * started only by the host and incarnation that its id is bound to, and by
  * that only once. docs/design/at_most_once.md lists the ways weighed.
  */
-import type {ReadId} from './request_id.js';
+import type {ParsedRequestId} from './request_id.js';
 
 /** What the deciding host knows. */
 export interface OwnerState {
-  readonly id: ReadId;
+  readonly id: ParsedRequestId;
   readonly repeatable: boolean;
   /** Whether the caller goes on with an answer it has begun to get. */
   readonly resuming: boolean;
--- a/packages/decisions/src/resume_data.ts
+++ b/packages/decisions/src/resume_data.ts
@@ -39,14 +39,14 @@
 }
 
 /** Reads resume data and verifies its signature. */
-export function readResumeData(
+export function parseResumeData(
   text: string,
   signer: Signer,
 ): Result<ResumeData, KnownError> {
   const [body, signature] = text.split('.');
   const bad = err(DECISION_ERRORS.create('bad_resume_data'));
   if (body === undefined || signature === undefined) return bad;
-  if (!signer.isSigned(body, signature)) return bad;
+  if (!signer.hasValidSignature(body, signature)) return bad;
   const json = Buffer.from(body, 'base64url').toString('utf8');
   const parsed = RESUME_SCHEMA.safeParse(JSON.parse(json));
   if (!parsed.success) return bad;
--- a/packages/decisions/src/retry_budget.ts
+++ b/packages/decisions/src/retry_budget.ts
@@ -7,18 +7,18 @@
 /** How much is earned, kept and given. */
 export interface RetryBudgetOptions {
   /** Retries earned by one first try. */
-  readonly earnedPerTry: number;
+  readonly retriesPerRequest: number;
   /** The most that is kept. */
-  readonly most: number;
+  readonly maxRetries: number;
   /** Retries a second that are given in any case. */
-  readonly floorPerSecond: number;
+  readonly minRetriesPerSecond: number;
 }
 
 /** The budget unless settings say otherwise. */
-export const RETRY_BUDGET: RetryBudgetOptions = {
-  earnedPerTry: 0.2,
-  most: 100,
-  floorPerSecond: 2,
+export const DEFAULT_RETRY_BUDGET: RetryBudgetOptions = {
+  retriesPerRequest: 0.2,
+  maxRetries: 100,
+  minRetriesPerSecond: 2,
 };
 
 /** A budget of retries. */
@@ -27,12 +27,12 @@
   private filledAt: number | undefined;
 
   constructor(private readonly options: RetryBudgetOptions) {
-    this.kept = options.most / 10;
+    this.kept = options.maxRetries / 10;
   }
 
   /** Counts a first try. */
-  addTry(): void {
-    this.keep(this.options.earnedPerTry);
+  addFirstAttempt(): void {
+    this.keep(this.options.retriesPerRequest);
   }
 
   /** Takes one retry; false when none is left. */
@@ -46,10 +46,10 @@
   private addElapsed(nowMs: number): void {
     const elapsed = nowMs - (this.filledAt ?? nowMs);
     this.filledAt = nowMs;
-    this.keep((elapsed / 1000) * this.options.floorPerSecond);
+    this.keep((elapsed / 1000) * this.options.minRetriesPerSecond);
   }
 
   private keep(more: number): void {
-    this.kept = Math.min(this.options.most, this.kept + more);
+    this.kept = Math.min(this.options.maxRetries, this.kept + more);
   }
 }
--- a/packages/decisions/src/return_queue.ts
+++ b/packages/decisions/src/retry_schedule.ts
@@ -9,7 +9,7 @@
 const MILLI = 1000;
 
 /** Counts who was told to come back to one endpoint. */
-export class ReturnQueue {
+export class RetrySchedule {
   private lastAt = -Infinity;
 
   /** Takes it that callers were told to come back. */
@@ -20,7 +20,7 @@
   }
 
   /** Gives when the last of them is back, in ms from now. */
-  computeLastMs(now: number): number {
+  computeLastDelayMs(now: number): number {
     return Math.max(0, this.lastAt - now);
   }
 }
--- a/packages/decisions/src/rollout_plan.ts
+++ b/packages/decisions/src/rollout_plan.ts
@@ -102,7 +102,7 @@
  * @param ownRequests Requests of the service at this host since the order.
  * @param hosts Hosts that take requests, this one included.
  */
-export function computeTrialRoom(
+export function computeTrialQuota(
   bounds: ExposureBounds,
   ownRequests: number,
   hosts: number,
@@ -119,7 +119,7 @@
  * it is to carry, so that a fault under load shows, and two at least, as one
  * may fail by itself.
  */
-export function decideTrialEndpoints(
+export function countTrialEndpoints(
   bounds: ExposureBounds,
   newEndpoints: number,
 ): number {
--- a/packages/decisions/src/rollout_verdict.ts
+++ b/packages/decisions/src/rollout_verdict.ts
@@ -47,7 +47,7 @@
 const SOUND_AT = -Math.log(20);
 
 /** Gives the verdict. */
-export function decideVersion(
+export function decideVersionVerdict(
   routes: readonly RouteEvidence[],
 ): VersionVerdict {
   const weights = routes.map(computeWeight);
--- a/packages/decisions/src/route_table.ts
+++ b/packages/decisions/src/route_table.ts
@@ -6,13 +6,13 @@
  */
 
 /** What a route is found by. */
-export interface RoutePlace {
+export interface RouteKey {
   readonly hostName: string;
   readonly pathPrefix: string;
 }
 
 /** Routes by host name and path prefix. */
-export class RouteTable<R extends RoutePlace> {
+export class RouteTable<R extends RouteKey> {
   private readonly hosts = new Map<string, Map<string, R>>();
 
   constructor(routes: Iterable<R>) {
--- a/packages/decisions/src/serving_right.ts
+++ b/packages/decisions/src/serving_decision.ts
@@ -22,7 +22,7 @@
 }
 
 /** What a host may do. */
-export type ServingRight =
+export type ServingDecision =
   | 'serve'
   /** The platform is out for all; what is in force stays. */
   | 'serve_in_outage'
@@ -30,7 +30,7 @@
   | 'refuse_no_configuration';
 
 /** Decides whether to take new work. */
-export function decideServingRight(state: ContactState): ServingRight {
+export function decideServing(state: ContactState): ServingDecision {
   if (!state.configured) return 'refuse_no_configuration';
   if (state.tableAgeMs <= state.maxTableAgeMs) return 'serve';
   return hasMajority(state) ? 'serve_in_outage' : 'refuse_cut_off';
--- a/packages/decisions/src/signature.ts
+++ b/packages/decisions/src/signature.ts
@@ -17,7 +17,7 @@
   }
 
   /** Tells whether the signature is this text's. */
-  isSigned(text: string, signature: string): boolean {
+  hasValidSignature(text: string, signature: string): boolean {
     const wanted = Buffer.from(this.sign(text));
     const given = Buffer.from(signature);
     return wanted.length === given.length && timingSafeEqual(wanted, given);
--- a/packages/decisions/src/silence_limits.ts
+++ b/packages/decisions/src/silence_limits.ts
@@ -7,7 +7,7 @@
  */
 
 /** What the limits are made from, in ms. */
-export interface SilenceAims {
+export interface SilenceTargets {
   /** The longest pause between events that the operator aims at. */
   readonly targetGapMs: number | undefined;
   /** The time to a first event that the operator aims at. */
@@ -19,15 +19,15 @@
 /** The limits, in ms. */
 export interface SilenceLimits {
   /** Silence between events before the endpoint is asked. */
-  readonly askAfterMs: number;
+  readonly probeAfterMs: number;
   /** How long the endpoint may take to answer. */
-  readonly answerMs: number;
+  readonly probeTimeoutMs: number;
   /** Silence after which a stream is lost though its endpoint answers. */
   readonly lostAfterMs: number;
   /** The wait for a first event before the endpoint is asked. */
-  readonly firstAskMs: number;
+  readonly firstProbeAfterMs: number;
   /** The time between questions before the first event. */
-  readonly askEveryMs: number;
+  readonly probeIntervalMs: number;
 }
 
 /** The aim at pauses where the operator declares none, in ms. */
@@ -53,7 +53,7 @@
 const ASK_EVERY_PART = 0.13;
 
 /** Gives the limits of a stream at an engine. */
-export function computeSilenceLimits(aims: SilenceAims): SilenceLimits {
+export function computeSilenceLimits(aims: SilenceTargets): SilenceLimits {
   const {targetGapMs = DEFAULT_GAP_MS, targetLatencyMs, usualGapMs} = aims;
   const askAfterMs = Math.max(
     ASK_AFTER_PART * targetGapMs,
@@ -66,10 +66,10 @@
     askAfterMs + answerMs,
   );
   return {
-    askAfterMs,
-    answerMs,
+    probeAfterMs: askAfterMs,
+    probeTimeoutMs: answerMs,
     lostAfterMs,
-    firstAskMs: FIRST_ASK_PART * targetLatencyMs,
-    askEveryMs: ASK_EVERY_PART * targetLatencyMs,
+    firstProbeAfterMs: FIRST_ASK_PART * targetLatencyMs,
+    probeIntervalMs: ASK_EVERY_PART * targetLatencyMs,
   };
 }
--- a/packages/decisions/src/stall_limit.ts
+++ b/packages/decisions/src/stall_limit.ts
@@ -20,7 +20,7 @@
 }
 
 /** The bounds unless settings say otherwise. */
-export const STALL_BOUNDS: StallBounds = {
+export const DEFAULT_STALL_BOUNDS: StallBounds = {
   minProbeMs: 150,
   maxProbeMs: 700,
   minLostMs: 1500,
@@ -57,7 +57,7 @@
   }
 
   /** Gives what few gaps exceed; undefined before the first. */
-  getUsual(): number | undefined {
+  getUpperBoundMs(): number | undefined {
     if (this.mean === undefined) return undefined;
     return this.mean + DEVIATIONS * this.deviation;
   }
@@ -67,7 +67,7 @@
     if (this.mean === undefined) {
       return {probeMs: bounds.maxProbeMs, lostMs: bounds.maxLostMs};
     }
-    const usual = this.getUsual() ?? 0;
+    const usual = this.getUpperBoundMs() ?? 0;
     const probeMs = clamp(usual, bounds.minProbeMs, bounds.maxProbeMs);
     const lostMs = clamp(
       usual * LOST_FACTOR,
--- a/packages/decisions/src/suspension_watch.ts
+++ b/packages/decisions/src/suspension_detector.ts
@@ -105,7 +105,7 @@
 }
 
 /** Compares clocks. */
-export class SuspensionWatch {
+export class SuspensionDetector {
   private readonly clocks = new Map<string, HostClock>();
   private readonly wall = new WallLead();
   private word: Word | undefined;
--- a/packages/decisions/src/table_replica.ts
+++ b/packages/decisions/src/table_replica.ts
@@ -113,7 +113,7 @@
   }
 
   /** Whether a row exists in the current era of the store. */
-  hasCurrent(key: string): boolean {
+  isInCurrentEra(key: string): boolean {
     const row = this.rows.get(key);
     if (row?.value === undefined) return false;
     return getEra(row.revision) === getEra(this.known);
--- a/packages/decisions/src/newer_sources.ts
+++ b/packages/decisions/src/update_sources.ts
@@ -8,17 +8,17 @@
 const MAX_SOURCES = 8;
 
 /** The hosts that have a newer change. */
-export class NewerSources {
+export class UpdateSources {
   /** The newest change told, by address; who told last stands last. */
   private readonly told = new Map<string, number>();
 
   /** Whether anybody told of a change beyond the one held. */
-  hasNewer(held: number): boolean {
+  hasUpdate(held: number): boolean {
     return this.choose(held, new Set()) !== undefined;
   }
 
   /** Takes it that the host at an address has changes up to a revision. */
-  accept(address: string, revision: number): void {
+  recordAnnouncement(address: string, revision: number): void {
     this.told.delete(address);
     this.told.set(address, revision);
     const [first] = this.told.keys();
@@ -28,13 +28,13 @@
   }
 
   /** Gives up to which revision a host told of changes; 0 for none. */
-  getTold(address: string): number {
+  getAnnounced(address: string): number {
     return this.told.get(address) ?? 0;
   }
 
   /** Forgets what a host told up to a revision: it was asked for that. */
   drop(address: string, revision: number): void {
-    if (this.getTold(address) <= revision) this.told.delete(address);
+    if (this.getAnnounced(address) <= revision) this.told.delete(address);
   }
 
   /**
--- a/packages/decisions/src/wait_estimate.ts
+++ b/packages/decisions/src/wait_estimate.ts
@@ -26,7 +26,7 @@
   }
 
   /** Counts a request that left the queue to run. */
-  recordTaken(nowMs: number): void {
+  recordDequeue(nowMs: number): void {
     if (this.lastAt === undefined) return;
     const gap = nowMs - this.lastAt;
     this.lastAt = nowMs;
@@ -51,7 +51,10 @@
  *
  * @param spread A random part from 0 to 1.
  */
-export function computeRetryAfter(waitMs: number, spread: number): number {
+export function computeRetryAfterSeconds(
+  waitMs: number,
+  spread: number,
+): number {
   const seconds = Math.ceil((waitMs / 1000) * (1 + spread / 2));
   if (!Number.isFinite(seconds)) return MAX_RETRY_SECONDS;
   return Math.min(MAX_RETRY_SECONDS, Math.max(MIN_RETRY_SECONDS, seconds));
--- a/packages/decisions/src/windowed_budget.ts
+++ b/packages/decisions/src/windowed_retry_budget.ts
@@ -7,25 +7,25 @@
  */
 
 /** The bounds of a budget over all hosts together. */
-export interface WindowedBudgetOptions {
+export interface WindowedRetryBudgetOptions {
   readonly windowMs: number;
   /** Repeated sends for each request. */
   readonly ratio: number;
   /** Repeated sends in a window whatever the requests, for all hosts. */
   readonly allowance: number;
   /** The part of both that is used, to stay clear of the bound. */
-  readonly usedPart: number;
+  readonly usedFraction: number;
 }
 
 /** One host's share of a budget of repeated sends. */
-export class WindowedBudget {
+export class WindowedRetryBudget {
   private readonly requests: number[] = [];
   private readonly repeats: number[] = [];
 
-  constructor(private options: WindowedBudgetOptions) {}
+  constructor(private options: WindowedRetryBudgetOptions) {}
 
   /** Takes other bounds; what was counted so far stays. */
-  setBounds(options: WindowedBudgetOptions): void {
+  setBounds(options: WindowedRetryBudgetOptions): void {
     this.options = options;
   }
 
@@ -36,9 +36,9 @@
   }
 
   /** Takes one repeated send; false when the share is used up. */
-  takeRepeat(nowMs: number, hosts: number): boolean {
+  takeRetry(nowMs: number, hosts: number): boolean {
     this.dropOld(nowMs);
-    const {ratio, allowance, usedPart} = this.options;
+    const {ratio, allowance, usedFraction: usedPart} = this.options;
     const share = allowance / Math.max(1, hosts);
     const most = usedPart * (ratio * this.requests.length + share);
     if (this.repeats.length + 1 > most) return false;
--- a/packages/decisions/tests/kept_prompt.test.ts
+++ b/packages/decisions/tests/cached_prompt.test.ts
@@ -1,7 +1,7 @@
 /** How much of a prompt an engine keeps. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {computeKeptTokens} from '@irisdock/decisions';
+import {computeCachedTokens} from '@irisdock/decisions';
 
 const PROMPT = [
   {id: 'shared', tokens: 200},
@@ -45,7 +45,7 @@
   ];
   for (const [what, kept, tokens] of cases) {
     it(`are ${tokens} of ${what}`, () => {
-      assert.equal(computeKeptTokens(PROMPT, new Map(kept)), tokens);
+      assert.equal(computeCachedTokens(PROMPT, new Map(kept)), tokens);
     });
   }
 });
--- a/packages/decisions/tests/configuration_state.test.ts
+++ b/packages/decisions/tests/configuration_state.test.ts
@@ -3,10 +3,10 @@
 import {describe, it} from 'node:test';
 import {
   ConfigurationState,
-  decideServingRight,
+  decideServing,
   isChangeAllowed,
   type ContactState,
-  type ServingRight,
+  type ServingDecision,
 } from '@irisdock/decisions';
 import type {Change} from '@irisdock/resources';
 import fc from 'fast-check';
@@ -112,7 +112,7 @@
   const cases: readonly {
     name: string;
     state: Partial<ContactState>;
-    want: ServingRight;
+    want: ServingDecision;
   }[] = [
     {name: 'serves in touch with the table', state: {}, want: 'serve'},
     {
@@ -138,7 +138,7 @@
   ];
   for (const {name, state, want} of cases) {
     it(name, () => {
-      assert.equal(decideServingRight({...base, ...state}), want);
+      assert.equal(decideServing({...base, ...state}), want);
     });
   }
 
@@ -153,7 +153,7 @@
           const sideA = Math.min(a, hostsKnown);
           const sideB = Math.min(b, hostsKnown - sideA);
           const cutOff = {...base, hostsKnown, tableAgeMs: 60_000};
-          const right = decideServingRight({...cutOff, hostsHeard: sideA});
+          const right = decideServing({...cutOff, hostsHeard: sideA});
           const reaching = {...base, hostsKnown, hostsHeard: sideB};
           if (isChangeAllowed(reaching)) assert.notEqual(right, 'serve');
           if (isChangeAllowed(reaching)) {
--- a/packages/decisions/tests/endpoint_choice.test.ts
+++ b/packages/decisions/tests/endpoint_choice.test.ts
@@ -6,8 +6,8 @@
   chooseEndpoint,
   chooseLeastReported,
   chooseSubset,
-  computePlacement,
-  isAllowed,
+  computePlacementConstraints,
+  isDomainAllowed,
   PrefixIndex,
   type ChoiceRequest,
   type EndpointView,
@@ -294,7 +294,7 @@
   const rule = {service: 's', failureDomains: ['a', 'b']};
   const cases: readonly {
     name: string;
-    rules: Parameters<typeof computePlacement>[0];
+    rules: Parameters<typeof computePlacementConstraints>[0];
     allowed: string;
   }[] = [
     {name: 'allows all without rules', rules: [], allowed: 'abc'},
@@ -330,8 +330,10 @@
   ];
   for (const {name, rules, allowed} of cases) {
     it(name, () => {
-      const placement = computePlacement(rules, 's', 't');
-      const names = ['a', 'b', 'c'].filter((d) => isAllowed(placement, d));
+      const placement = computePlacementConstraints(rules, 's', 't');
+      const names = ['a', 'b', 'c'].filter((d) =>
+        isDomainAllowed(placement, d),
+      );
       assert.equal(names.join(''), allowed);
     });
   }
--- a/packages/decisions/tests/endpoint_limits.test.ts
+++ b/packages/decisions/tests/endpoint_limits.test.ts
@@ -4,12 +4,12 @@
 import * as fc from 'fast-check';
 import {
   computePauseMs,
-  decideRate,
+  computeEnforcedRate,
   isNewerReport,
   NO_SENDS,
   PermitBucket,
   PermitIssuers,
-  ReturnQueue,
+  RetrySchedule,
   sortIssuers,
   type LimitReport,
 } from '@irisdock/decisions';
@@ -161,12 +161,18 @@
 
   it('is never without bound, and shuts no endpoint out for good', () => {
     const unreadable = {kind: 'unreadable'} as const;
-    assert.equal(decideRate({kind: 'rate', perSecond: 3.4}, undefined), 3.4);
-    assert.ok(decideRate({kind: 'rate', perSecond: 0}, undefined) > 0);
-    const huge = decideRate({kind: 'rate', perSecond: 1e300}, undefined);
+    assert.equal(
+      computeEnforcedRate({kind: 'rate', perSecond: 3.4}, undefined),
+      3.4,
+    );
+    assert.ok(computeEnforcedRate({kind: 'rate', perSecond: 0}, undefined) > 0);
+    const huge = computeEnforcedRate(
+      {kind: 'rate', perSecond: 1e300},
+      undefined,
+    );
     assert.ok(Number.isFinite(huge));
-    assert.equal(decideRate(unreadable, 7), 7);
-    const unknown = decideRate(unreadable, undefined);
+    assert.equal(computeEnforcedRate(unreadable, 7), 7);
+    const unknown = computeEnforcedRate(unreadable, undefined);
     assert.ok(unknown > 0 && unknown < 10);
   });
 });
@@ -194,9 +200,9 @@
 
   it('gives none while it has just started', () => {
     const issuers = new PermitIssuers('host-0', 0);
-    issuers.update({names: ['host-0'], mayLive: 1});
-    assert.equal(issuers.computePart('i-1', 3, 1000), 0);
-    assert.equal(issuers.computePart('i-1', 3, 2500), 1);
+    issuers.update({names: ['host-0'], possiblyAlive: 1});
+    assert.equal(issuers.computeShare('i-1', 3, 1000), 0);
+    assert.equal(issuers.computeShare('i-1', 3, 2500), 1);
   });
 
   it('gives no more than a quarter over the limit on both sides of a cut', () => {
@@ -212,8 +218,8 @@
           for (const side of [names.slice(0, one), names.slice(one)]) {
             for (const name of side) {
               const issuers = new PermitIssuers(name, 0);
-              issuers.update({names: side, mayLive: names.length});
-              sum += issuers.computePart(endpoint, perSecond, 10_000);
+              issuers.update({names: side, possiblyAlive: names.length});
+              sum += issuers.computeShare(endpoint, perSecond, 10_000);
             }
           }
           return sum <= 1.25 + 1e-9 && sum >= 0.5 - 1e-9;
@@ -226,7 +232,7 @@
   it('is one of several where the limit is high', () => {
     const names = createNames(350);
     const issuers = new PermitIssuers('host-0', 0);
-    issuers.update({names, mayLive: 350});
+    issuers.update({names, possiblyAlive: 350});
     const found = new Set<string | undefined>();
     for (let turn = 0; turn < 40; turn++) {
       found.add(issuers.findIssuer('i-1', 1000, turn));
@@ -238,22 +244,22 @@
   it('is nobody where no host stays', () => {
     const issuers = new PermitIssuers('host-0', 0);
     assert.equal(issuers.findIssuer('i-1', 3), undefined);
-    assert.equal(issuers.computePart('i-1', 3, 10_000), 0);
+    assert.equal(issuers.computeShare('i-1', 3, 10_000), 0);
   });
 });
 
 describe('callers that found a limit used up', () => {
   it('come back one by one at its rate, in the order they were told', () => {
-    const queue = new ReturnQueue();
+    const queue = new RetrySchedule();
     const told: number[] = [];
     for (let caller = 0; caller < 5; caller++) {
       queue.add(1, 2, 1000);
-      told.push(queue.computeLastMs(1000));
+      told.push(queue.computeLastDelayMs(1000));
     }
     assert.deepEqual(told, [500, 1000, 1500, 2000, 2500]);
-    assert.equal(queue.computeLastMs(9000), 0);
+    assert.equal(queue.computeLastDelayMs(9000), 0);
     queue.add(100, 0.2, 9000);
-    assert.equal(queue.computeLastMs(9000), 10_000);
+    assert.equal(queue.computeLastDelayMs(9000), 10_000);
   });
 
   it('are asked for less often by each host, the more hosts ask', () => {
--- a/packages/decisions/tests/engine_placement.test.ts
+++ b/packages/decisions/tests/engine_placement.test.ts
@@ -6,10 +6,10 @@
   chooseEngine,
   choosePlainEndpoint,
   computeEngineCost,
-  sortByPreference,
+  sortByRendezvousHash,
   type EngineRequest,
   type EngineView,
-  type PlainView,
+  type PlainEndpointView,
 } from '@irisdock/decisions';
 import fc from 'fast-check';
 import {RUN_OPTIONS} from './run_options.js';
@@ -60,8 +60,8 @@
 describe('the order of engines for a prompt', () => {
   it('is the same whatever the order they are given in', () => {
     const list = createEngines([{}, {}, {}, {}, {}]);
-    const names = sortByPreference(list, 'p').map((e) => e.instanceId);
-    const again = sortByPreference([...list].reverse(), 'p');
+    const names = sortByRendezvousHash(list, 'p').map((e) => e.instanceId);
+    const again = sortByRendezvousHash([...list].reverse(), 'p');
     assert.deepEqual(
       again.map((e) => e.instanceId),
       names,
@@ -71,9 +71,9 @@
   it('moves only the prompts of an engine that goes', () => {
     const list = createEngines([{}, {}, {}, {}, {}, {}]);
     for (let at = 0; at < 50; at++) {
-      const before = sortByPreference(list, `p${at}`);
+      const before = sortByRendezvousHash(list, `p${at}`);
       const gone = before[1];
-      const after = sortByPreference(
+      const after = sortByRendezvousHash(
         list.filter((e) => e !== gone),
         `p${at}`,
       );
@@ -258,7 +258,7 @@
   });
 });
 
-function createPlain(change: Partial<PlainView>): PlainView {
+function createPlain(change: Partial<PlainEndpointView>): PlainEndpointView {
   return {
     instanceId: 'p1',
     calls: 0,
@@ -270,7 +270,7 @@
 }
 
 describe('the choice of a plain endpoint', () => {
-  const cases: readonly [string, Partial<PlainView>][] = [
+  const cases: readonly [string, Partial<PlainEndpointView>][] = [
     ['busier', {calls: 12}],
     ['slower', {answerMs: 300}],
     ['failed of late', {failureScore: 1}],
--- a/packages/decisions/tests/gateway_limits.test.ts
+++ b/packages/decisions/tests/gateway_limits.test.ts
@@ -5,13 +5,13 @@
   chooseStoreReaders,
   RETURN_GRACE_MS,
   StoreContact,
-  WindowedBudget,
+  WindowedRetryBudget,
 } from '@irisdock/decisions';
 import fc from 'fast-check';
 import {RUN_OPTIONS} from './run_options.js';
 
 const WINDOW_MS = 1000;
-const BUDGET = {windowMs: WINDOW_MS, ratio: 0.5, allowance: 6, usedPart: 1};
+const BUDGET = {windowMs: WINDOW_MS, ratio: 0.5, allowance: 6, usedFraction: 1};
 
 describe('a windowed budget', () => {
   it('stays within its bound in every window', () => {
@@ -21,14 +21,14 @@
     );
     fc.assert(
       fc.property(steps, fc.integer({min: 1, max: 4}), (list, hosts) => {
-        const budget = new WindowedBudget(BUDGET);
+        const budget = new WindowedRetryBudget(BUDGET);
         const requests: number[] = [];
         const repeats: number[] = [];
         let now = 0;
         for (const {waitMs, isRepeat} of list) {
           now += waitMs;
           if (isRepeat) {
-            if (budget.takeRepeat(now, hosts)) repeats.push(now);
+            if (budget.takeRetry(now, hosts)) repeats.push(now);
           } else {
             budget.addRequest(now);
             requests.push(now);
@@ -45,10 +45,10 @@
   });
 
   it('is whole again after a window', () => {
-    const budget = new WindowedBudget(BUDGET);
-    for (let at = 0; at < 6; at++) assert.equal(budget.takeRepeat(0, 1), true);
-    assert.equal(budget.takeRepeat(0, 1), false);
-    assert.equal(budget.takeRepeat(WINDOW_MS + 1, 1), true);
+    const budget = new WindowedRetryBudget(BUDGET);
+    for (let at = 0; at < 6; at++) assert.equal(budget.takeRetry(0, 1), true);
+    assert.equal(budget.takeRetry(0, 1), false);
+    assert.equal(budget.takeRetry(WINDOW_MS + 1, 1), true);
   });
 });
 
--- a/packages/decisions/tests/host_view.test.ts
+++ b/packages/decisions/tests/host_view.test.ts
@@ -163,7 +163,7 @@
     const schedule = new ProbeSchedule(new SeededRandom(1));
     const asked = new Set<string>();
     for (let beat = 0; beat < alive.size; beat++) {
-      for (const name of schedule.planBeat(alive, true, 1).probed) {
+      for (const name of schedule.planRound(alive, true, 1).probed) {
         asked.add(name);
         schedule.markHeard(name);
       }
@@ -173,18 +173,18 @@
 
   it('asks a silent host again through others, then names it', () => {
     const schedule = new ProbeSchedule(new SeededRandom(1));
-    const [first = ''] = schedule.planBeat(alive, true, 1).probed;
-    const second = schedule.planBeat(alive, true, 0);
-    assert.deepEqual(second.relayed, [first]);
+    const [first = ''] = schedule.planRound(alive, true, 1).probed;
+    const second = schedule.planRound(alive, true, 0);
+    assert.deepEqual(second.indirect, [first]);
     assert.deepEqual(second.probed, [first]);
-    assert.deepEqual(schedule.planBeat(alive, true, 0).silent, [first]);
+    assert.deepEqual(schedule.planRound(alive, true, 0).unresponsive, [first]);
   });
 
   it('names nobody when its own host hears nobody', () => {
     const schedule = new ProbeSchedule(new SeededRandom(1));
     for (let beat = 0; beat < 20; beat++) {
-      const plan = schedule.planBeat(alive, false, 1);
-      assert.deepEqual(plan.silent, []);
+      const plan = schedule.planRound(alive, false, 1);
+      assert.deepEqual(plan.unresponsive, []);
       assert.equal(plan.probed.length, 1);
     }
   });
--- a/packages/decisions/tests/leaving_memory.test.ts
+++ b/packages/decisions/tests/leaving_hold_down.test.ts
@@ -1,13 +1,16 @@
 /** A list that contradicts itself sends no work to who leaves. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {LeavingMemory, type ListedState} from '@irisdock/decisions';
+import {LeavingHoldDown, type ListedAddress} from '@irisdock/decisions';
 import fc from 'fast-check';
 import {RUN_OPTIONS} from './run_options.js';
 
 const HOLD_MS = 5000;
 
-function createHost(state: ListedState['state'], address = 'a'): ListedState {
+function createHost(
+  state: ListedAddress['state'],
+  address = 'a',
+): ListedAddress {
   return {address, state};
 }
 
@@ -15,8 +18,8 @@
   const cases: readonly {
     name: string;
     /** Lists and when they are read. */
-    reads: readonly (readonly [number, readonly ListedState['state'][]])[];
-    want: ListedState['state'] | undefined;
+    reads: readonly (readonly [number, readonly ListedAddress['state'][]])[];
+    want: ListedAddress['state'] | undefined;
   }[] = [
     {name: 'takes a host as it is', reads: [[0, ['live']]], want: 'live'},
     {
@@ -60,8 +63,8 @@
   ];
   for (const {name, reads, want} of cases) {
     it(name, () => {
-      const memory = new LeavingMemory<ListedState>(HOLD_MS);
-      let last: ListedState[] = [];
+      const memory = new LeavingHoldDown<ListedAddress>(HOLD_MS);
+      let last: ListedAddress[] = [];
       for (const [at, states] of reads) {
         last = memory.apply(
           states.map((state) => createHost(state)),
@@ -76,14 +79,14 @@
   it('gives the same for a list in any order', () => {
     const host = fc.record({
       address: fc.constantFrom('a', 'b', 'c'),
-      state: fc.constantFrom<ListedState['state']>('live', 'leaving'),
+      state: fc.constantFrom<ListedAddress['state']>('live', 'leaving'),
     });
     fc.assert(
       fc.property(fc.array(host, {maxLength: 8}), fc.nat(), (list, turn) => {
         const turned = list.map((_, at) => list[(at + turn) % list.length]);
         const given = turned.filter((each) => each !== undefined);
         const [one, other] = [list, given].map((each) => {
-          const merged = new LeavingMemory<ListedState>(0).apply(each, 0);
+          const merged = new LeavingHoldDown<ListedAddress>(0).apply(each, 0);
           return merged.map((h) => `${h.address} ${h.state}`).sort();
         });
         assert.deepEqual(one, other);
--- a/packages/decisions/tests/limit_ways.test.ts
+++ b/packages/decisions/tests/limit_strategies.test.ts
@@ -9,16 +9,20 @@
   LimitSimulation,
   type LimitFault,
   type LimitResult,
-  type LimitWay,
-  type LimitWorld,
+  type LimitStrategy,
+  type LimitEnvironment,
 } from './fixtures/limit_simulation.js';
-import {EvenPartWay, IssuerWay, ToldDemandWay} from './fixtures/limit_ways.js';
+import {
+  EvenShareStrategy,
+  IssuerStrategy,
+  DemandShareStrategy,
+} from './fixtures/limit_strategies.js';
 
 const SEEDS = [1, 2, 3];
 
-type CreateWay = (world: LimitWorld) => LimitWay;
+type CreateWay = (world: LimitEnvironment) => LimitStrategy;
 
-const createIssuer: CreateWay = (world) => new IssuerWay(world);
+const createIssuer: CreateWay = (world) => new IssuerStrategy(world);
 
 function runPlays(
   hosts: number,
@@ -54,11 +58,11 @@
       for (const perSecond of [3.1, 50, 400]) {
         for (const result of runPlays(hosts, perSecond, createIssuer)) {
           assert.ok(!isBroken(result), JSON.stringify(result));
-          assert.ok(result.usedPart >= leastUsed, JSON.stringify(result));
+          assert.ok(result.usedFraction >= leastUsed, JSON.stringify(result));
         }
       }
       for (const result of runPlays(hosts, 0.2, createIssuer)) {
-        assert.ok(!isBroken(result) && result.usedPart > 0);
+        assert.ok(!isBroken(result) && result.usedFraction > 0);
       }
     });
 
@@ -80,15 +84,15 @@
 
 describe('the ways that were weighed', () => {
   it('even parts break the bound at 60 hosts and use two thirds', () => {
-    const createWay: CreateWay = (world) => new EvenPartWay(world);
+    const createWay: CreateWay = (world) => new EvenShareStrategy(world);
     assert.ok(runPlays(60, 3.1, createWay).some(isBroken));
-    for (const {usedPart} of runPlays(9, 50, createWay)) {
+    for (const {usedFraction: usedPart} of runPlays(9, 50, createWay)) {
       assert.ok(usedPart < 0.8);
     }
   });
 
   it('parts by told demand break it at 60 and 350 hosts', () => {
-    const createWay: CreateWay = (world) => new ToldDemandWay(world);
+    const createWay: CreateWay = (world) => new DemandShareStrategy(world);
     assert.ok(runPlays(60, 3.1, createWay).every(isBroken));
     assert.ok(runPlays(350, 3.1, createWay).every(isBroken));
   });
--- a/packages/decisions/tests/limits.test.ts
+++ b/packages/decisions/tests/limits.test.ts
@@ -5,26 +5,26 @@
 import {
   chooseAddresses,
   chooseDutyHosts,
-  computeRetryAfter,
+  computeRetryAfterSeconds,
   GapStatistics,
-  LEASE_TIMES,
+  DEFAULT_LEASE_TIMINGS,
   LeaseState,
   planOrders,
   RetryBudget,
-  STALL_BOUNDS,
+  DEFAULT_STALL_BOUNDS,
   WaitEstimate,
   type LeaseRow,
   type MemberNote,
-  type WantedLoads,
+  type DesiredLoads,
 } from '@irisdock/decisions';
 import fc from 'fast-check';
 import {RUN_OPTIONS} from './run_options.js';
 
 describe('GapStatistics', () => {
   it('is at its most patient before it knows anything', () => {
-    const limits = new GapStatistics().getLimits(STALL_BOUNDS);
-    assert.equal(limits.probeMs, STALL_BOUNDS.maxProbeMs);
-    assert.equal(limits.lostMs, STALL_BOUNDS.maxLostMs);
+    const limits = new GapStatistics().getLimits(DEFAULT_STALL_BOUNDS);
+    assert.equal(limits.probeMs, DEFAULT_STALL_BOUNDS.maxProbeMs);
+    assert.equal(limits.lostMs, DEFAULT_STALL_BOUNDS.maxLostMs);
   });
 
   it('stays within its bounds for any gaps', () => {
@@ -33,10 +33,10 @@
       fc.property(gaps, (list) => {
         const statistics = new GapStatistics();
         for (const gap of list) statistics.record(gap);
-        const {probeMs, lostMs} = statistics.getLimits(STALL_BOUNDS);
-        assert.ok(probeMs >= STALL_BOUNDS.minProbeMs);
-        assert.ok(probeMs <= STALL_BOUNDS.maxProbeMs);
-        assert.ok(lostMs > probeMs && lostMs <= STALL_BOUNDS.maxLostMs);
+        const {probeMs, lostMs} = statistics.getLimits(DEFAULT_STALL_BOUNDS);
+        assert.ok(probeMs >= DEFAULT_STALL_BOUNDS.minProbeMs);
+        assert.ok(probeMs <= DEFAULT_STALL_BOUNDS.maxProbeMs);
+        assert.ok(lostMs > probeMs && lostMs <= DEFAULT_STALL_BOUNDS.maxLostMs);
       }),
       RUN_OPTIONS,
     );
@@ -46,7 +46,7 @@
     const [fast, slow] = [20, 90].map((usual) => {
       const statistics = new GapStatistics();
       for (let at = 0; at < 500; at++) statistics.record(usual + (at % 5));
-      return statistics.getLimits(STALL_BOUNDS).probeMs;
+      return statistics.getLimits(DEFAULT_STALL_BOUNDS).probeMs;
     });
     assert.ok((fast ?? 0) <= (slow ?? 0));
   });
@@ -56,7 +56,7 @@
 class LeasePlay {
   row: LeaseRow | undefined;
   readonly hosts = ['a', 'b'].map((name) => ({
-    state: new LeaseState(name, LEASE_TIMES),
+    state: new LeaseState(name, DEFAULT_LEASE_TIMINGS),
     clock: 0,
   }));
 
@@ -68,11 +68,13 @@
     if (step.step === 'wait') return;
     if (this.row !== read) return;
     this.row = step.row;
-    if (!loses) host.state.recordWritten(step.row, host.clock);
+    if (!loses) host.state.recordWrite(step.row, host.clock);
   }
 
   listFences(): number[] {
-    return this.hosts.flatMap((host) => host.state.getFence(host.clock) ?? []);
+    return this.hosts.flatMap(
+      (host) => host.state.getFencingToken(host.clock) ?? [],
+    );
   }
 }
 
@@ -131,11 +133,15 @@
 
 describe('RetryBudget', () => {
   it('lets through a part of the tries', () => {
-    const options = {earnedPerTry: 0.2, most: 100, floorPerSecond: 0};
+    const options = {
+      retriesPerRequest: 0.2,
+      maxRetries: 100,
+      minRetriesPerSecond: 0,
+    };
     const budget = new RetryBudget(options);
     let retries = 0;
     for (let at = 0; at < 1000; at++) {
-      budget.addTry();
+      budget.addFirstAttempt();
       if (budget.takeRetry(0)) retries++;
     }
     // A fifth of the tries, and what it has at the start.
@@ -143,7 +149,11 @@
   });
 
   it('lets a quiet host retry', () => {
-    const options = {earnedPerTry: 0, most: 10, floorPerSecond: 2};
+    const options = {
+      retriesPerRequest: 0,
+      maxRetries: 10,
+      minRetriesPerSecond: 2,
+    };
     const budget = new RetryBudget(options);
     while (budget.takeRetry(0)) continue;
     assert.equal(budget.takeRetry(400), false);
@@ -159,7 +169,7 @@
   it('follows the pace, and a pause', () => {
     const estimate = new WaitEstimate();
     estimate.startBusy(0);
-    for (let now = 100; now <= 5000; now += 100) estimate.recordTaken(now);
+    for (let now = 100; now <= 5000; now += 100) estimate.recordDequeue(now);
     assert.equal(Math.round(estimate.getWaitMs(10, 5000) ?? 0), 1000);
     assert.ok((estimate.getWaitMs(10, 8000) ?? 0) > 5000);
   });
@@ -167,7 +177,7 @@
   it('does not count time in which nobody waited', () => {
     const estimate = new WaitEstimate();
     estimate.startBusy(0);
-    estimate.recordTaken(100);
+    estimate.recordDequeue(100);
     estimate.endBusy();
     assert.equal(estimate.getWaitMs(1, 60_000), 100);
   });
@@ -179,7 +189,7 @@
     fc.assert(
       fc.property(waits, fc.double({min: 0, max: 1, noNaN: true}), (ms, at) => {
         if (Number.isNaN(ms)) return;
-        const seconds = computeRetryAfter(ms, at);
+        const seconds = computeRetryAfterSeconds(ms, at);
         assert.ok(Number.isInteger(seconds));
         assert.ok(seconds >= 1 && seconds <= 60);
       }),
@@ -225,7 +235,7 @@
 });
 
 describe('planOrders', () => {
-  function createWanted(change: Partial<WantedLoads> = {}): WantedLoads {
+  function createWanted(change: Partial<DesiredLoads> = {}): DesiredLoads {
     const endpoints = ['e1', 'e2', 'e3'].map((address) => ({
       address,
       models: [] as string[],
@@ -270,7 +280,7 @@
     fc.assert(
       fc.property(start, fc.nat(5), (models, replicas) => {
         const loaded = models.map((list) => new Set(list));
-        const createNow = (): WantedLoads =>
+        const createNow = (): DesiredLoads =>
           createWanted({
             replicas,
             endpoints: loaded.map((set, at) => ({
--- a/packages/decisions/tests/loss_response.test.ts
+++ b/packages/decisions/tests/loss_response.test.ts
@@ -27,9 +27,9 @@
     loss: 'reset',
     mayHaveRun: true,
     mayContinue: true,
-    attaches: 0,
+    attachAttempts: 0,
     losses: 0,
-    budgetLeft: true,
+    hasRetryBudget: true,
     ...change,
   };
 }
@@ -47,7 +47,7 @@
   },
   {
     name: 'a third attach is not made',
-    state: {attaches: 2},
+    state: {attachAttempts: 2},
     want: 'continue',
   },
   {
@@ -67,7 +67,7 @@
   },
   {
     name: 'what never ran is given up as not run',
-    state: {loss: 'refused', mayHaveRun: false, budgetLeft: false},
+    state: {loss: 'refused', mayHaveRun: false, hasRetryBudget: false},
     want: 'give_up_not_run',
   },
 ];
@@ -86,9 +86,9 @@
           loss: fc.constantFrom(...KINDS),
           mayHaveRun: fc.constant(true),
           mayContinue: fc.constant(false),
-          attaches: fc.nat(4),
+          attachAttempts: fc.nat(4),
           losses: fc.nat(10),
-          budgetLeft: fc.boolean(),
+          hasRetryBudget: fc.boolean(),
         }),
         (state) => {
           const response = decideLossResponse(state);
@@ -105,7 +105,7 @@
       fc.property(fc.constantFrom(...KINDS), (loss) => {
         let attaches = 0;
         for (let losses = 0; losses <= 12; losses++) {
-          const state = createState({loss, losses, attaches});
+          const state = createState({loss, losses, attachAttempts: attaches});
           const response = decideLossResponse(state);
           if (response === 'attach') attaches++;
           else if (response !== 'continue') return;
--- a/packages/decisions/tests/membership_view.test.ts
+++ b/packages/decisions/tests/membership_view.test.ts
@@ -70,13 +70,13 @@
       const watched = view.listWatchTargets().map((note) => note.hostId);
       view.setWatched(watched, this.now);
       for (const target of this.listTargets(view)) this.watch(at, target);
-      view.update(this.now);
+      view.applyTimeouts(this.now);
     }
   }
 
   private listTargets(view: MembershipView): number[] {
     const watched = view.listWatchTargets().map((note) => note.peerAddress);
-    const seeds = view.listPeersToTry(2, this.now);
+    const seeds = view.listReconnectPeers(2, this.now);
     return [...watched, ...seeds].map((address) => Number(address.slice(1, 4)));
   }
 
@@ -167,7 +167,7 @@
     function createRefused(): MembershipView {
       const view = new MembershipView(createNote(0), TIMES);
       view.applyNotes([createNote(1)], 0);
-      const news = view.recordRefusal(createNote(1).hostId, 100);
+      const news = view.recordConnectionRefused(createNote(1).hostId, 100);
       assert.deepEqual(news, [createNote(1, {state: 'suspect'})]);
       return view;
     }
@@ -179,24 +179,27 @@
     it('gives it no more callers at once, and takes it for dead sooner', () => {
       const view = createRefused();
       assert.deepEqual(view.listServing(), [view.self]);
-      view.update(100 + TIMES.goneAfterMs - 1);
+      view.applyTimeouts(100 + TIMES.goneAfterMs - 1);
       assert.equal(getState(view), 'suspect');
-      view.update(100 + TIMES.goneAfterMs);
+      view.applyTimeouts(100 + TIMES.goneAfterMs);
       assert.equal(getState(view), 'dead');
     });
 
     it('waits longer for one that is merely silent', () => {
       const view = new MembershipView(createNote(0), TIMES);
       view.applyNotes([createNote(1, {state: 'suspect'})], 100);
-      view.update(100 + TIMES.goneAfterMs);
+      view.applyTimeouts(100 + TIMES.goneAfterMs);
       assert.equal(getState(view), 'suspect');
     });
 
     it('shortens the wait for one that was silent before', () => {
       const view = new MembershipView(createNote(0), TIMES);
       view.applyNotes([createNote(1, {state: 'suspect'})], 100);
-      assert.deepEqual(view.recordRefusal(createNote(1).hostId, 200), []);
-      view.update(100 + TIMES.goneAfterMs);
+      assert.deepEqual(
+        view.recordConnectionRefused(createNote(1).hostId, 200),
+        [],
+      );
+      view.applyTimeouts(100 + TIMES.goneAfterMs);
       assert.equal(getState(view), 'dead');
     });
 
@@ -206,9 +209,9 @@
       assert.equal(getState(view), 'live');
       const {hostId} = createNote(1);
       const until = 200 + TIMES.suspectAfterMs;
-      assert.deepEqual(view.recordRefusal(hostId, until - 1), []);
+      assert.deepEqual(view.recordConnectionRefused(hostId, until - 1), []);
       assert.equal(getState(view), 'live');
-      view.recordRefusal(hostId, until);
+      view.recordConnectionRefused(hostId, until);
       assert.equal(getState(view), 'suspect');
     });
 
@@ -216,13 +219,13 @@
       const view = createRefused();
       view.applyNotes([createNote(1, {incarnation: '2'})], 200);
       assert.equal(getState(view), 'live');
-      view.update(200 + TIMES.goneAfterMs);
+      view.applyTimeouts(200 + TIMES.goneAfterMs);
       assert.equal(getState(view), 'live');
     });
 
     it('says nothing of one that is not known', () => {
       const view = new MembershipView(createNote(0), TIMES);
-      assert.deepEqual(view.recordRefusal('nobody', 0), []);
+      assert.deepEqual(view.recordConnectionRefused('nobody', 0), []);
     });
   });
 
--- a/packages/decisions/tests/pause_request.test.ts
+++ b/packages/decisions/tests/pause_request.test.ts
@@ -3,7 +3,7 @@
 import {describe, it} from 'node:test';
 import {
   computePauseEnd,
-  computePauseReturnMs,
+  computeRetryDelayMs,
   MAX_PAUSE_MS,
   UNREADABLE_PAUSE_MS,
   type PauseRequest,
@@ -52,8 +52,8 @@
   });
 
   it('is before the return of every caller that was refused', () => {
-    assert.equal(computePauseReturnMs(3000, 1000, 0), 2000);
-    assert.ok(computePauseReturnMs(3000, 1000, 1) > 2000);
-    assert.equal(computePauseReturnMs(1000, 3000, 0), 0);
+    assert.equal(computeRetryDelayMs(3000, 1000, 0), 2000);
+    assert.ok(computeRetryDelayMs(3000, 1000, 1) > 2000);
+    assert.equal(computeRetryDelayMs(1000, 3000, 0), 0);
   });
 });
--- a/packages/decisions/tests/request_owner.test.ts
+++ b/packages/decisions/tests/request_owner.test.ts
@@ -5,7 +5,7 @@
   createRequestId,
   decideOwner,
   decideOwnerNaively,
-  readRequestId,
+  parseRequestId,
   Signer,
   type OwnerDecision,
   type OwnerState,
@@ -23,7 +23,7 @@
 
 function createState(change: Partial<OwnerState> = {}): OwnerState {
   return {
-    id: readRequestId(createId('a', '1'), SIGNER),
+    id: parseRequestId(createId('a', '1'), SIGNER),
     repeatable: false,
     resuming: false,
     hasResumeData: false,
@@ -82,12 +82,12 @@
   },
   {
     name: 'an id of the caller is not bound to a host',
-    state: {id: readRequestId('mine', SIGNER)},
+    state: {id: parseRequestId('mine', SIGNER)},
     want: 'refuse_unbound',
   },
   {
     name: 'a forged id is refused',
-    state: {id: readRequestId(`${createId('a', '1')}x`, SIGNER)},
+    state: {id: parseRequestId(`${createId('a', '1')}x`, SIGNER)},
     want: 'refuse_forged',
   },
 ];
@@ -155,7 +155,7 @@
     const remembered = startedAt !== undefined && now - startedAt < 360;
     const decision = decide(
       createState({
-        id: readRequestId(id, SIGNER),
+        id: parseRequestId(id, SIGNER),
         self: {
           hostId: HOSTS[step.host] ?? '',
           incarnation: String(host.incarnation),
--- a/packages/decisions/tests/rollout_plan.test.ts
+++ b/packages/decisions/tests/rollout_plan.test.ts
@@ -2,9 +2,9 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
-  computeTrialRoom,
+  computeTrialQuota,
   decideNextPhase,
-  decideTrialEndpoints,
+  countTrialEndpoints,
   type RolloutView,
 } from '@irisdock/decisions';
 import fc from 'fast-check';
@@ -116,7 +116,7 @@
     if (host === undefined) break;
     host.requests++;
     const isMoved = now >= movedAt;
-    const room = computeTrialRoom(BOUNDS, host.requests, hosts);
+    const room = computeTrialQuota(BOUNDS, host.requests, hosts);
     const isTrial = !isMoved && host.trials + 1 <= room;
     if (isTrial) host.trials++;
     if (isTrial || isMoved) sent++;
@@ -135,9 +135,9 @@
 
 describe('the endpoints of a trial', () => {
   it('are few, and two at least where there are two', () => {
-    assert.equal(decideTrialEndpoints(BOUNDS, 1), 1);
-    assert.equal(decideTrialEndpoints(BOUNDS, 4), 2);
-    assert.equal(decideTrialEndpoints(BOUNDS, 70), 3);
-    assert.equal(decideTrialEndpoints(BOUNDS, 1000), 4);
+    assert.equal(countTrialEndpoints(BOUNDS, 1), 1);
+    assert.equal(countTrialEndpoints(BOUNDS, 4), 2);
+    assert.equal(countTrialEndpoints(BOUNDS, 70), 3);
+    assert.equal(countTrialEndpoints(BOUNDS, 1000), 4);
   });
 });
--- a/packages/decisions/tests/rollout_verdict.test.ts
+++ b/packages/decisions/tests/rollout_verdict.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
-  decideVersion,
+  decideVersionVerdict,
   type AnswerCount,
   type RouteEvidence,
   type VersionVerdict,
@@ -55,7 +55,7 @@
       route: `r${at}`,
       ...one,
     }));
-    verdict = decideVersion(evidence);
+    verdict = decideVersionVerdict(evidence);
     if (verdict === 'bad') return {verdict, answers};
   }
   return {verdict, answers: MOST_ANSWERS};
@@ -125,11 +125,11 @@
   it('is sound after some forty good answers, and open before', () => {
     const before: AnswerCount = {answers: 1000, bad: 0};
     const decide = (answers: number): VersionVerdict =>
-      decideVersion([
+      decideVersionVerdict([
         {route: 'r', before, byEndpoint: new Map([['e', {answers, bad: 0}]])},
       ]);
     assert.equal(decide(5), 'open');
     assert.equal(decide(40), 'sound');
-    assert.equal(decideVersion([]), 'open');
+    assert.equal(decideVersionVerdict([]), 'open');
   });
 });
--- a/packages/decisions/tests/signed_texts.test.ts
+++ b/packages/decisions/tests/signed_texts.test.ts
@@ -4,8 +4,8 @@
 import {
   createRequestId,
   createResumeData,
-  readRequestId,
-  readResumeData,
+  parseRequestId,
+  parseResumeData,
   REQUEST_ID_PATTERN,
   Signer,
 } from '@irisdock/decisions';
@@ -40,7 +40,7 @@
       fc.property(MINTED, (minted) => {
         const id = createRequestId(minted, SIGNER);
         assert.match(id, REQUEST_ID_PATTERN);
-        const read = readRequestId(id, SIGNER);
+        const read = parseRequestId(id, SIGNER);
         assert.deepEqual(read, {origin: 'minted', id, minted});
       }),
       RUN_OPTIONS,
@@ -54,9 +54,9 @@
         const at = 3 + (seed % (id.length - 3));
         const letter = id[at] === 'q' ? 'r' : 'q';
         const changed = id.slice(0, at) + letter + id.slice(at + 1);
-        assert.equal(readRequestId(changed, SIGNER).origin, 'forged');
+        assert.equal(parseRequestId(changed, SIGNER).origin, 'forged');
         const other = new Signer('another key for tests');
-        assert.equal(readRequestId(id, other).origin, 'forged');
+        assert.equal(parseRequestId(id, other).origin, 'forged');
       }),
       RUN_OPTIONS,
     );
@@ -68,7 +68,7 @@
     fc.assert(
       fc.property(RESUME, (data) => {
         const text = createResumeData(data, SIGNER);
-        const read = readResumeData(text, SIGNER);
+        const read = parseResumeData(text, SIGNER);
         assert.deepEqual(read._unsafeUnwrap(), data);
       }),
       RUN_OPTIONS,
@@ -78,7 +78,7 @@
   it('is refused when it is anything else', () => {
     fc.assert(
       fc.property(fc.string(), (text) => {
-        assert.ok(readResumeData(text, SIGNER).isErr());
+        assert.ok(parseResumeData(text, SIGNER).isErr());
       }),
       RUN_OPTIONS,
     );
--- a/packages/decisions/tests/silence_limits.test.ts
+++ b/packages/decisions/tests/silence_limits.test.ts
@@ -1,7 +1,7 @@
 /** How long a stream may be silent. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {computeSilenceLimits, type SilenceAims} from '@irisdock/decisions';
+import {computeSilenceLimits, type SilenceTargets} from '@irisdock/decisions';
 import fc from 'fast-check';
 import {RUN_OPTIONS} from './run_options.js';
 
@@ -11,7 +11,7 @@
   usualGapMs: fc.integer({min: 5, max: 60}),
 });
 
-function createAims(change: Partial<SilenceAims> = {}): SilenceAims {
+function createAims(change: Partial<SilenceTargets> = {}): SilenceTargets {
   return {
     targetGapMs: 700,
     targetLatencyMs: 4500,
@@ -28,12 +28,17 @@
     fc.assert(
       fc.property(aims, (given) => {
         const limits = computeSilenceLimits(given);
-        const {askAfterMs, answerMs, lostAfterMs} = limits;
+        const {
+          probeAfterMs: askAfterMs,
+          probeTimeoutMs: answerMs,
+          lostAfterMs,
+        } = limits;
         const noticedMs = askAfterMs + answerMs;
         assert.ok(noticedMs + GO_ON_MS <= given.targetGapMs * 1.11);
         assert.ok(lostAfterMs >= noticedMs);
         assert.ok(lostAfterMs <= given.targetGapMs);
-        const {firstAskMs, askEveryMs} = limits;
+        const {firstProbeAfterMs: firstAskMs, probeIntervalMs: askEveryMs} =
+          limits;
         const twiceAskedMs = firstAskMs + askEveryMs + answerMs;
         assert.ok(twiceAskedMs <= given.targetLatencyMs * 0.7);
       }),
@@ -45,7 +50,7 @@
     fc.assert(
       fc.property(aims, fc.integer({min: 5, max: 900}), (given, usualGapMs) => {
         const limits = computeSilenceLimits({...given, usualGapMs});
-        assert.ok(limits.askAfterMs >= usualGapMs);
+        assert.ok(limits.probeAfterMs >= usualGapMs);
         assert.ok(limits.lostAfterMs >= 2 * usualGapMs);
       }),
       RUN_OPTIONS,
@@ -62,10 +67,10 @@
   it('rise and fall with the aims', () => {
     const narrow = computeSilenceLimits(createAims({targetGapMs: 350}));
     const wide = computeSilenceLimits(createAims({targetGapMs: 1400}));
-    assert.equal(wide.askAfterMs, narrow.askAfterMs * 4);
+    assert.equal(wide.probeAfterMs, narrow.probeAfterMs * 4);
     assert.equal(wide.lostAfterMs, narrow.lostAfterMs * 4);
     const quick = computeSilenceLimits(createAims({targetLatencyMs: 1500}));
     const slow = computeSilenceLimits(createAims({targetLatencyMs: 9000}));
-    assert.equal(slow.firstAskMs, quick.firstAskMs * 6);
+    assert.equal(slow.firstProbeAfterMs, quick.firstProbeAfterMs * 6);
   });
 });
--- a/packages/decisions/tests/store_revision.test.ts
+++ b/packages/decisions/tests/store_revision.test.ts
@@ -96,8 +96,8 @@
     const restored = [createRow('a', 2, 1), createRow('c', 2, 3)];
     replica.applyRestored(restored, createRevision(2, 3));
     assert.deepEqual(listKeys(replica), ['a', 'b']);
-    assert.equal(replica.hasCurrent('a'), true);
-    assert.equal(replica.hasCurrent('b'), false);
+    assert.equal(replica.isInCurrentEra('a'), true);
+    assert.equal(replica.isInCurrentEra('b'), false);
   });
 
   it('goes by the store once its writers could write again', () => {
--- a/packages/decisions/tests/suspension_watch.test.ts
+++ b/packages/decisions/tests/suspension_detector.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import * as fc from 'fast-check';
-import {SuspensionWatch} from '@irisdock/decisions';
+import {SuspensionDetector} from '@irisdock/decisions';
 
 /** Messages come so often from each host, in ms. */
 const BEAT_MS = 300;
@@ -10,7 +10,7 @@
 
 /** A machine whose steady clock may stand still, and hosts that go on. */
 class Machine {
-  readonly watch = new SuspensionWatch();
+  readonly watch = new SuspensionDetector();
   /** The time of the world, in ms. */
   now = 0;
   suspendedMs = 0;
--- a/packages/gateway/src/channels/endpoint_client.ts
+++ b/packages/gateway/src/channels/endpoint_client.ts
@@ -4,7 +4,7 @@
  * it must not run twice.
  */
 import {request, type ClientRequest, type IncomingMessage} from 'node:http';
-import type {SendUse} from '@irisdock/decisions';
+import type {SendPriority} from '@irisdock/decisions';
 import {
   getErrorText,
   isRefused,
@@ -96,7 +96,7 @@
   /** Asks for a permit to send; without one, nothing can be sent. */
   admit(
     target: SendTarget,
-    use: SendUse,
+    use: SendPriority,
   ): Promise<SendAdmission> | SendAdmission {
     return this.gate.admit(target, use);
   }
--- a/packages/gateway/src/model/request_terms.ts
+++ b/packages/gateway/src/model/request_terms.ts
@@ -3,9 +3,12 @@
  * typed values. An adapter decodes them once; nothing else reads header names.
  */
 
-import type {NamedLimit, PauseRequest} from '@irisdock/decisions';
+import type {AdvertisedLimit, PauseRequest} from '@irisdock/decisions';
 
-export type {NamedLimit, PauseRequest} from '@irisdock/decisions';
+export type {
+  AdvertisedLimit as NamedLimit,
+  PauseRequest,
+} from '@irisdock/decisions';
 
 /** A part of a prompt that requests may share. */
 export interface PromptPart {
@@ -77,7 +80,7 @@
   readonly endpointId: string | undefined;
   readonly load: ToldLoad | undefined;
   /** The limit on requests that it names; undefined when it names none. */
-  readonly limit: NamedLimit | undefined;
+  readonly limit: AdvertisedLimit | undefined;
   /** Whether the endpoint announces that it is leaving. */
   readonly isLeaving: boolean;
   /** The pause that it asks for; undefined when it asks for none. */
--- a/packages/gateway/src/services/crashes.ts
+++ b/packages/gateway/src/services/crashes.ts
@@ -52,7 +52,7 @@
       store: context.find(STORE),
       clock,
       log,
-      hasRow: (key) => table.replica.hasCurrent(key),
+      hasRow: (key) => table.replica.isInCurrentEra(key),
       listKeys: (content) => index.listKeys(content),
     });
     api.spreader = {
--- a/packages/gateway/src/services/endpoint_gate.ts
+++ b/packages/gateway/src/services/endpoint_gate.ts
@@ -2,7 +2,7 @@
  * The gate before every connection to an endpoint: checks what the endpoint
  * announced (leaving, a pause), then its limit over all hosts.
  */
-import type {SendUse} from '@irisdock/decisions';
+import type {SendPriority} from '@irisdock/decisions';
 import type {Clock} from '@irisdock/kernel';
 import {Counter, Gauge, type Registry} from 'prom-client';
 import type {
@@ -47,7 +47,7 @@
 
   admit(
     target: SendTarget,
-    use: SendUse,
+    use: SendPriority,
   ): Promise<SendAdmission> | SendAdmission {
     const {limits} = this.parts;
     const hold = this.findHold(target, use);
@@ -80,7 +80,10 @@
     return this.parts.limits.decideReturnMs(holds);
   }
 
-  private findHold(target: SendTarget, use: SendUse): SendHold | undefined {
+  private findHold(
+    target: SendTarget,
+    use: SendPriority,
+  ): SendHold | undefined {
     const {endpoints, clock} = this.parts;
     const {instanceId} = target;
     const end = endpoints.pauses.findEnd(instanceId);
--- a/packages/gateway/src/services/front.ts
+++ b/packages/gateway/src/services/front.ts
@@ -1,6 +1,6 @@
 /** The service `front`: takes the requests of callers. */
 import {createServer, type Server} from 'node:http';
-import type {WindowedBudgetOptions} from '@irisdock/decisions';
+import type {WindowedRetryBudgetOptions} from '@irisdock/decisions';
 import {
   createService,
   createServiceKey,
@@ -222,12 +222,12 @@
 
 function createBudgetOptions(
   settings: z.infer<typeof SETTINGS>,
-): WindowedBudgetOptions {
+): WindowedRetryBudgetOptions {
   return {
     windowMs: settings.retryWindowSeconds * 1000,
     ratio: settings.retryRatio,
     allowance: settings.retryAllowance,
-    usedPart: USED_BUDGET_PART,
+    usedFraction: USED_BUDGET_PART,
   };
 }
 
--- a/packages/gateway/src/services/host_tracker.ts
+++ b/packages/gateway/src/services/host_tracker.ts
@@ -7,7 +7,7 @@
   hashText,
   HostWatch,
   ReaderReports,
-  SuspensionWatch,
+  SuspensionDetector,
   type HostRecord,
   type HostView,
   type OutgoingWatch,
@@ -78,7 +78,7 @@
   readonly loader: PeerTableLoader;
   private readonly watch: HostWatch<PeerPlace>;
   private readonly reports = new ReaderReports();
-  private readonly suspension = new SuspensionWatch();
+  private readonly suspension = new SuspensionDetector();
   private readonly closing = new AbortController();
   private isFreshPlanned = false;
   private freshAt = -Infinity;
--- a/packages/gateway/src/services/known_limits.ts
+++ b/packages/gateway/src/services/known_limits.ts
@@ -3,10 +3,10 @@
  * got itself, and by what other hosts tell of theirs.
  */
 import {
-  decideRate,
+  computeEnforcedRate,
   isNewerReport,
   type LimitReport,
-  type NamedLimit,
+  type AdvertisedLimit,
 } from '@irisdock/decisions';
 import type {Clock, Logger} from '@irisdock/kernel';
 
@@ -75,9 +75,9 @@
   }
 
   /** Takes a limit that an answer named just now. */
-  acceptNamed(instanceId: string, named: NamedLimit): ReportOutcome {
+  acceptNamed(instanceId: string, named: AdvertisedLimit): ReportOutcome {
     const before = this.beliefs.get(instanceId)?.perSecond;
-    const perSecond = decideRate(named, before);
+    const perSecond = computeEnforcedRate(named, before);
     if (named.kind === 'unreadable' && before === undefined) {
       this.log.writeWarning('An endpoint names a limit that is no rate.', {
         endpoint: instanceId,
--- a/packages/gateway/src/services/permit_grants.ts
+++ b/packages/gateway/src/services/permit_grants.ts
@@ -5,7 +5,7 @@
   computePauseMs,
   NO_SENDS,
   PermitBucket,
-  ReturnQueue,
+  RetrySchedule,
   type PermitIssuers,
 } from '@irisdock/decisions';
 import type {Clock} from '@irisdock/kernel';
@@ -28,7 +28,7 @@
 /** What is kept of one endpoint. */
 interface IssuedPermits {
   readonly bucket: PermitBucket;
-  readonly returns: ReturnQueue;
+  readonly returns: RetrySchedule;
   /** The last answer to each host, by the host's name. */
   readonly given: Map<string, GivenAnswer>;
 }
@@ -57,7 +57,7 @@
       this.issued.delete(instanceId);
       return this.createAnswer(instanceId, ask, true);
     }
-    const part = this.issuers.computePart(instanceId, perSecond, now);
+    const part = this.issuers.computeShare(instanceId, perSecond, now);
     if (part === 0) {
       // What it gave before is not known to whoever is the issuer next, nor to
       // this host once it is that again: it starts with none.
@@ -77,7 +77,7 @@
       granted,
       waitMs,
       pauseMs: computePauseMs(countAskers(permits, now), perSecond, waitMs),
-      lastReturnMs: permits.returns.computeLastMs(now),
+      lastReturnMs: permits.returns.computeLastDelayMs(now),
     };
     permits.given.set(ask.name, {incarnation, at: now, answer});
     return answer;
@@ -117,7 +117,7 @@
     let permits = this.issued.get(instanceId);
     if (permits === undefined) {
       const bucket = new PermitBucket(now);
-      permits = {bucket, returns: new ReturnQueue(), given: new Map()};
+      permits = {bucket, returns: new RetrySchedule(), given: new Map()};
       this.issued.set(instanceId, permits);
     }
     return permits;
--- a/packages/gateway/src/services/permit_queue.ts
+++ b/packages/gateway/src/services/permit_queue.ts
@@ -3,7 +3,11 @@
  * together, one question at a time, so that a host asks no more often than its
  * questions take to be answered, however many sends wait.
  */
-import {NO_SENDS, type SendCounts, type SendUse} from '@irisdock/decisions';
+import {
+  NO_SENDS,
+  type SendCounts,
+  type SendPriority,
+} from '@irisdock/decisions';
 import type {Clock} from '@irisdock/kernel';
 import {
   SendPermit,
@@ -48,7 +52,7 @@
 }
 
 interface Waiter {
-  readonly use: SendUse;
+  readonly use: SendPriority;
   readonly target: SendTarget;
   readonly finish: (admission: SendAdmission) => void;
 }
@@ -75,7 +79,7 @@
   }
 
   /** Waits for a permit, as long as one question takes. */
-  async wait(target: SendTarget, use: SendUse): Promise<SendAdmission> {
+  async wait(target: SendTarget, use: SendPriority): Promise<SendAdmission> {
     const isQuiet = this.parts.clock.getNow() < this.quietUntil;
     if (isQuiet && use !== 'begun') return this.createHold(target);
     return new Promise((finish) => {
--- a/packages/gateway/src/services/send_limits.ts
+++ b/packages/gateway/src/services/send_limits.ts
@@ -4,11 +4,11 @@
  * docs/design/endpoint_limits.md.
  */
 import {
-  decideRate,
+  computeEnforcedRate,
   hashText,
   PermitIssuers,
   type LimitReport,
-  type SendUse,
+  type SendPriority,
 } from '@irisdock/decisions';
 import {getErrorText, type Clock, type Logger} from '@irisdock/kernel';
 import type {
@@ -131,7 +131,7 @@
 
   admit(
     target: SendTarget,
-    use: SendUse,
+    use: SendPriority,
   ): Promise<SendAdmission> | SendAdmission {
     const perSecond = this.beliefs.findRate(target.instanceId);
     if (perSecond === undefined) return new SendPermit(target);
@@ -309,7 +309,7 @@
       return 'known';
     }
     const rate = isLimited
-      ? decideRate({kind: 'rate', perSecond}, undefined)
+      ? computeEnforcedRate({kind: 'rate', perSecond}, undefined)
       : undefined;
     const report: LimitReport = {perSecond: rate, at};
     return this.beliefs.accept(instanceId, report, source);
@@ -325,7 +325,7 @@
     this.recordsHash = recordsHash;
     this.mayLive = mayLive;
     const names = peers.listStayingNames();
-    this.issuers.update({names, mayLive});
+    this.issuers.update({names, possiblyAlive: mayLive});
   }
 
   /** Forgets endpoints that are gone, and limits that ended long ago. */
--- a/packages/gateway/src/serving/endpoint_record.ts
+++ b/packages/gateway/src/serving/endpoint_record.ts
@@ -2,7 +2,7 @@
  * What this host knows of one start of one endpoint: its entry, what runs
  * there by this host's own account and by what others told, and how it did.
  */
-import type {EngineView, PlainView} from '@irisdock/decisions';
+import type {EngineView, PlainEndpointView} from '@irisdock/decisions';
 import type {EndpointEntry} from '../model/endpoint_entry.js';
 import type {ToldLoad} from '../model/request_terms.js';
 
@@ -70,7 +70,7 @@
 }
 
 /** One endpoint. */
-export class EndpointRecord implements EngineView, PlainView {
+export class EndpointRecord implements EngineView, PlainEndpointView {
   /** Whether a roll-out keeps usual requests from it. */
   isBarred = false;
   private goneCause: GoneCause | undefined;
--- a/packages/gateway/src/serving/kept_prompts.ts
+++ b/packages/gateway/src/serving/kept_prompts.ts
@@ -7,8 +7,8 @@
  * again, 48,000 where a hash had to name the engine (one day of load each).
  */
 import {
-  computeKeptTokens,
-  sortByPreference,
+  computeCachedTokens,
+  sortByRendezvousHash,
   type PromptPartView,
 } from '@irisdock/decisions';
 import type {Clock, Logger} from '@irisdock/kernel';
@@ -57,7 +57,7 @@
     const kept = new Map<string, number>();
     const key = prompt.at(-1)?.id;
     if (key === undefined) return kept;
-    const sorted = sortByPreference(engines, key);
+    const sorted = sortByRendezvousHash(engines, key);
     const asked = [
       ...sorted.filter((engine) => this.isNear(engine)),
       ...sorted.filter((engine) => !this.isNear(engine)),
@@ -65,7 +65,7 @@
     await Promise.all(
       asked.map(async (engine) => {
         const parts = await this.poll(engine);
-        const tokens = computeKeptTokens(prompt, parts ?? new Map());
+        const tokens = computeCachedTokens(prompt, parts ?? new Map());
         if (tokens > 0) kept.set(engine.instanceId, tokens);
       }),
     );
--- a/packages/gateway/src/serving/repeat_budgets.ts
+++ b/packages/gateway/src/serving/repeat_budgets.ts
@@ -1,19 +1,22 @@
 /** The budgets of repeated sends, one a service. */
-import {WindowedBudget, type WindowedBudgetOptions} from '@irisdock/decisions';
+import {
+  WindowedRetryBudget,
+  type WindowedRetryBudgetOptions,
+} from '@irisdock/decisions';
 
 /** The budgets. */
 export class RepeatBudgets {
-  private readonly budgets = new Map<string, WindowedBudget>();
+  private readonly budgets = new Map<string, WindowedRetryBudget>();
 
   /** @param countHosts Gives the hosts that share each budget. */
   constructor(
-    private options: WindowedBudgetOptions,
+    private options: WindowedRetryBudgetOptions,
     private readonly countHosts: () => number,
     private readonly getNow: () => number,
   ) {}
 
   /** Takes other bounds; what was sent so far counts against them. */
-  setBounds(options: WindowedBudgetOptions): void {
+  setBounds(options: WindowedRetryBudgetOptions): void {
     this.options = options;
     for (const budget of this.budgets.values()) budget.setBounds(options);
   }
@@ -26,13 +29,13 @@
   /** Takes one repeated send; false when this host's share is used up. */
   takeRepeat(service: string): boolean {
     const hosts = this.countHosts();
-    return this.getBudget(service).takeRepeat(this.getNow(), hosts);
+    return this.getBudget(service).takeRetry(this.getNow(), hosts);
   }
 
-  private getBudget(service: string): WindowedBudget {
+  private getBudget(service: string): WindowedRetryBudget {
     let budget = this.budgets.get(service);
     if (budget === undefined) {
-      budget = new WindowedBudget(this.options);
+      budget = new WindowedRetryBudget(this.options);
       this.budgets.set(service, budget);
     }
     return budget;
--- a/packages/gateway/src/serving/rollout_counts.ts
+++ b/packages/gateway/src/serving/rollout_counts.ts
@@ -8,7 +8,7 @@
   RouteEvidence,
   VersionVerdict,
 } from '@irisdock/decisions';
-import {decideVersion} from '@irisdock/decisions';
+import {decideVersionVerdict} from '@irisdock/decisions';
 import type {RouteCount} from '../model/rollout_order.js';
 
 /** How one endpoint answered one request. */
@@ -84,7 +84,7 @@
 
   /** Gives the verdict by what this host alone saw. */
   decide(): VersionVerdict {
-    return decideVersion(computeEvidence([this.listRoutes()]));
+    return decideVersionVerdict(computeEvidence([this.listRoutes()]));
   }
 
   /** Lists the counts by route. */
--- a/packages/gateway/src/serving/rollout_state.ts
+++ b/packages/gateway/src/serving/rollout_state.ts
@@ -3,8 +3,8 @@
  * forward, and what this host and others saw of it.
  */
 import {
-  computeTrialRoom,
-  decideVersion,
+  computeTrialQuota,
+  decideVersionVerdict,
   ROLLOUT_PHASES,
   type ExposureBounds,
   type RolloutPhase,
@@ -88,7 +88,7 @@
   takeTrial(bounds: ExposureBounds, hosts: number): boolean {
     if (this.known !== 'trial') return false;
     const {counts} = this;
-    const room = computeTrialRoom(bounds, counts.requests, hosts);
+    const room = computeTrialQuota(bounds, counts.requests, hosts);
     if (counts.trialSends + 1 > room) return false;
     counts.trialSends++;
     return true;
@@ -135,7 +135,7 @@
       reports.reduce((total, report) => total + get(report), 0);
     return {
       phase: this.known,
-      verdict: decideVersion(
+      verdict: decideVersionVerdict(
         computeEvidence(reports.map(({routes}) => routes)),
       ),
       bounds,
--- a/packages/gateway/src/serving/rollouts.ts
+++ b/packages/gateway/src/serving/rollouts.ts
@@ -4,7 +4,7 @@
  * Where none is ordered, nothing is counted and every endpoint is open.
  */
 import {
-  decideTrialEndpoints,
+  countTrialEndpoints,
   hashText,
   type ExposureBounds,
 } from '@irisdock/decisions';
@@ -122,7 +122,7 @@
       rank: hashText(record.instanceId),
     }));
     ranked.sort((a, b) => a.rank - b.rank);
-    const count = decideTrialEndpoints(bounds, found.length);
+    const count = countTrialEndpoints(bounds, found.length);
     return ranked.slice(0, count).map(({record}) => record);
   }
 
--- a/packages/gateway/src/serving/send_gate.ts
+++ b/packages/gateway/src/serving/send_gate.ts
@@ -2,7 +2,11 @@
  * What stands before every connection to an endpoint, and sees every answer. A
  * send needs a permit, which only the gate makes, so that no way leads past it.
  */
-import type {NamedLimit, PauseRequest, SendUse} from '@irisdock/decisions';
+import type {
+  AdvertisedLimit,
+  PauseRequest,
+  SendPriority,
+} from '@irisdock/decisions';
 
 /** The start of an endpoint that a send is meant for. */
 export interface SendTarget {
@@ -15,7 +19,7 @@
 export interface LimitAnswer {
   readonly target: SendTarget;
   /** The limit that it names; undefined when it names none. */
-  readonly limit: NamedLimit | undefined;
+  readonly limit: AdvertisedLimit | undefined;
   /** Whether an endpoint that has a limit would have named it here. */
   readonly isTelling: boolean;
   /** When the request was sent, in ms by this host's clock. */
@@ -86,7 +90,7 @@
   /** Asks for a permit; waits only where the endpoint named a limit. */
   admit(
     target: SendTarget,
-    use: SendUse,
+    use: SendPriority,
   ): Promise<SendAdmission> | SendAdmission;
 
   /**
--- a/packages/gateway/src/serving/send_holds.ts
+++ b/packages/gateway/src/serving/send_holds.ts
@@ -1,5 +1,5 @@
 /** What held one request back from endpoints, and what its caller is told. */
-import {computePauseReturnMs} from '@irisdock/decisions';
+import {computeRetryDelayMs} from '@irisdock/decisions';
 import type {Clock, KnownError, LogFields, Random} from '@irisdock/kernel';
 import {GATEWAY_ERRORS} from '../errors.js';
 import type {GatewayEndpoints} from '../services/gateway_endpoints.js';
@@ -37,7 +37,7 @@
     const end = endpoints.findFirstPauseEnd(service);
     if (end === undefined) return createNotRun('no_endpoint', service, random);
     const part = getRandomPart(random);
-    const returnMs = computePauseReturnMs(end, clock.getNow(), part);
+    const returnMs = computeRetryDelayMs(end, clock.getNow(), part);
     const seconds = formatRetryAfter(returnMs, random);
     return GATEWAY_ERRORS.create('endpoints_paused', {service}, seconds);
   }
--- a/packages/gateway/src/serving/silence_watch.ts
+++ b/packages/gateway/src/serving/silence_watch.ts
@@ -41,7 +41,9 @@
 
   /** Starts with the wait for the first event. */
   start(): void {
-    this.plan(this.getLimits().firstAskMs, () => this.probeBeforeFirst());
+    this.plan(this.getLimits().firstProbeAfterMs, () =>
+      this.probeBeforeFirst(),
+    );
   }
 
   /** Takes it that events arrived. */
@@ -53,7 +55,7 @@
     this.round++;
     // The timer that runs is left as it is, and checks the last event when it
     // fires: a timer an event would cost more than all else here.
-    if (!this.isChecking) this.planCheck(this.getLimits().askAfterMs);
+    if (!this.isChecking) this.planCheck(this.getLimits().probeAfterMs);
   }
 
   stop(): void {
@@ -80,7 +82,7 @@
 
   /** Asks the endpoint, unless events came since the timer was set. */
   private async checkSilence(): Promise<void> {
-    const dueAt = this.eventAt + this.getLimits().askAfterMs;
+    const dueAt = this.eventAt + this.getLimits().probeAfterMs;
     const leftMs = dueAt - this.clock.getNow();
     if (leftMs > 0) {
       this.planCheck(leftMs);
@@ -91,7 +93,8 @@
   }
 
   private async probeBeforeFirst(): Promise<void> {
-    const {answerMs, askEveryMs} = this.getLimits();
+    const {probeTimeoutMs: answerMs, probeIntervalMs: askEveryMs} =
+      this.getLimits();
     const answers = await this.prober.probe(this.endpoint, answerMs);
     if (this.hasEvents || this.stopped) return;
     this.unanswered = answers ? 0 : this.unanswered + 1;
@@ -105,7 +108,11 @@
 
   private async probeInStream(): Promise<void> {
     const {round} = this;
-    const {askAfterMs, answerMs, lostAfterMs} = this.getLimits();
+    const {
+      probeAfterMs: askAfterMs,
+      probeTimeoutMs: answerMs,
+      lostAfterMs,
+    } = this.getLimits();
     const answers = await this.prober.probe(this.endpoint, answerMs);
     if (round !== this.round || this.stopped) return;
     if (!answers) {
--- a/packages/gateway/src/tables/peer_table_loader.ts
+++ b/packages/gateway/src/tables/peer_table_loader.ts
@@ -5,7 +5,7 @@
  */
 import {
   formatRevision,
-  NewerSources,
+  UpdateSources,
   type HostChange,
   type TableReplica,
 } from '@irisdock/decisions';
@@ -28,7 +28,7 @@
 
 /** How one table is asked for. */
 interface TablePull {
-  readonly sources: NewerSources;
+  readonly sources: UpdateSources;
   /** The addresses that are being asked. */
   readonly asked: Set<string>;
   /** When a change beyond the own ones was first told of. */
@@ -112,7 +112,7 @@
     const own = this.tables[table].replica.lastChange;
     const pull = this.pulls[table];
     if (revision <= own) return;
-    pull.sources.accept(address, revision);
+    pull.sources.recordAnnouncement(address, revision);
     if (pull.behindSince !== undefined) return;
     pull.behindSince = now;
     if (table !== 'configuration') return;
@@ -145,7 +145,7 @@
       await Promise.race([answer, this.clock.wait(SECOND_SOURCE_MS)]);
       if (asked.size >= MAX_ASKED) await answer;
     }
-    if (!sources.hasNewer(replica.lastChange)) pull.behindSince = undefined;
+    if (!sources.hasUpdate(replica.lastChange)) pull.behindSince = undefined;
   }
 
   /**
@@ -157,7 +157,7 @@
     {sources, asked}: TablePull,
     address: string,
   ): Promise<void> {
-    const told = sources.getTold(address);
+    const told = sources.getAnnounced(address);
     asked.add(address);
     await this.loadFrom(address, [table], false);
     asked.delete(address);
@@ -204,7 +204,7 @@
 
 function createPull(): TablePull {
   return {
-    sources: new NewerSources(),
+    sources: new UpdateSources(),
     asked: new Set(),
     behindSince: undefined,
     running: undefined,
--- a/packages/gateway/src/tables/store_news.ts
+++ b/packages/gateway/src/tables/store_news.ts
@@ -1,12 +1,12 @@
 /** What the store has shown of a table, and what hosts tell each other of it. */
-import type {ReaderPlace, ReplicaRow} from '@irisdock/decisions';
+import type {ReaderRank, ReplicaRow} from '@irisdock/decisions';
 
 /**
  * How a host follows the store: itself, by its place among those that read for
  * all, or by what they tell. A loader reads the table whole once, as it has no
  * copy, and then waits until it is known who reads.
  */
-export type ReaderRole = 'listener' | 'loader' | ReaderPlace;
+export type ReaderRole = 'listener' | 'loader' | ReaderRank;
 
 /** What the store has just shown: rows, and the change that they follow on. */
 export interface StoreNews {
@@ -36,5 +36,5 @@
   if (typeof one !== 'object' || typeof other !== 'object') {
     return one === other;
   }
-  return one.place === other.place && one.count === other.count;
+  return one.rank === other.rank && one.count === other.count;
 }
--- a/packages/gateway/src/tables/store_standing.ts
+++ b/packages/gateway/src/tables/store_standing.ts
@@ -55,12 +55,14 @@
     this.chosenBy = recordsHash;
     this.hadTables = hasTables;
     if (!hasTables) {
-      this.setRoles(isAlone ? {place: 0, count: 1} : 'loader');
+      this.setRoles(isAlone ? {rank: 0, count: 1} : 'loader');
       return;
     }
     const readers = this.listReaders();
     const place = readers.indexOf(ownRecord.name);
-    this.setRoles(place < 0 ? 'listener' : {place, count: readers.length});
+    this.setRoles(
+      place < 0 ? 'listener' : {rank: place, count: readers.length},
+    );
   }
 
   /** Lists the names of the hosts that read the store, the first in line first. */
--- a/packages/gateway/src/tables/table_follower.ts
+++ b/packages/gateway/src/tables/table_follower.ts
@@ -6,10 +6,10 @@
 import {
   CopyAge,
   getEra,
-  ReaderTurns,
+  PollStagger,
   StoreContact,
   TableReplica,
-  type ReaderPlace,
+  type ReaderRank,
   type ReplicaRow,
 } from '@irisdock/decisions';
 import {Channel, type Clock, type Logger} from '@irisdock/kernel';
@@ -34,7 +34,7 @@
 /** All but the first reader make so much fewer calls while changes come. */
 const STANDBY_FACTOR = 2;
 /** Stands for a host that reads for nobody else. */
-const ALONE: ReaderPlace = {place: 0, count: 1};
+const ALONE: ReaderRank = {rank: 0, count: 1};
 
 /** Follows one table. */
 export class TableFollower {
@@ -52,7 +52,7 @@
   private readonly report: TableLog;
   private role: ReaderRole = 'listener';
   private resumeReading: (() => void) | undefined;
-  private readonly turns: ReaderTurns;
+  private readonly turns: PollStagger;
   private readonly storeChannel = new Channel<StoreNews>();
   /** What this host has just read from the store itself. */
   readonly storeNews = this.storeChannel.stream;
@@ -69,7 +69,7 @@
     log: Logger,
   ) {
     this.report = new TableLog(table, log);
-    this.turns = new ReaderTurns(options.waitMs);
+    this.turns = new PollStagger(options.waitMs);
     this.settling = new RestoreSettling({
       clock,
       signal: this.controller.signal,
@@ -102,7 +102,7 @@
   setRole(role: ReaderRole): void {
     if (isSameRole(role, this.role)) return;
     this.role = role;
-    this.turns.startAnew(0);
+    this.turns.startCycle(0);
     this.report.writeRole(role);
     if (this.hasTurn) this.resumeReading?.();
   }
@@ -150,7 +150,7 @@
     const {replica} = this;
     if (!replica.isLoaded) return false;
     const at = this.clock.getNow() - ageMs;
-    if (isTurn) this.turns.recordTold(at);
+    if (isTurn) this.turns.recordPeerAnswer(at);
     const isYounger = this.age.acceptWord({newest, at}, replica.lastChange);
     if (newest > replica.lastChange) return false;
     // Nothing is missing up to there, so no history is needed before it.
@@ -227,7 +227,7 @@
     const isWhole = this.mustReload || !replica.isLoaded;
     const startedAt = this.clock.getNow();
     const place = typeof this.role === 'object' ? this.role : ALONE;
-    const waitMs = isWhole ? 0 : this.turns.takeWaitMs(place, startedAt);
+    const waitMs = isWhole ? 0 : this.turns.takePollWaitMs(place, startedAt);
     const result = isWhole
       ? await store.readAll(table)
       : await store.readChanges(table, replica.revision, waitMs);
@@ -241,7 +241,7 @@
     if (this.isReading || news.rows.length > 0) this.storeChannel.post(news);
     const hasChanged = result.value.rows.length > 0;
     // Also when another reader told of it first: all were answered at once.
-    if (hasChanged) this.turns.startAnew(this.paceMs);
+    if (hasChanged) this.turns.startCycle(this.paceMs);
     // A store that does not wait as it was asked to is not asked all the time.
     const hasWaited = now - startedAt >= waitMs / 2;
     return hasChanged || !hasWaited ? this.paceMs : 0;
@@ -250,7 +250,7 @@
   /** The least time between two calls while changes come, in ms. */
   private get paceMs(): number {
     const {role, options} = this;
-    const isFirst = typeof role !== 'object' || role.place === 0;
+    const isFirst = typeof role !== 'object' || role.rank === 0;
     return isFirst ? options.paceMs : options.paceMs * STANDBY_FACTOR;
   }
 
@@ -361,7 +361,7 @@
     if (!this.contact.isAway) this.report.writeAway(kind);
     this.contact.recordFailure(now);
     this.failedAt = now;
-    this.turns.startAnew(0);
+    this.turns.startCycle(0);
     return this.options.retryMs;
   }
 
--- a/packages/gateway/src/tables/table_log.ts
+++ b/packages/gateway/src/tables/table_log.ts
@@ -22,7 +22,7 @@
   writeRole(role: ReaderRole): void {
     this.log.writeInfo('Who reads the store has changed.', {
       table: this.table,
-      role: typeof role === 'object' ? `reader ${role.place}` : role,
+      role: typeof role === 'object' ? `reader ${role.rank}` : role,
     });
   }
 
--- a/packages/gateway/tests/table_follower.test.ts
+++ b/packages/gateway/tests/table_follower.test.ts
@@ -65,7 +65,7 @@
   const log = new RoarrLogger('test', 'off');
   const clock = new SystemClock();
   const follower = new TableFollower('endpoints', store, OPTIONS, clock, log);
-  follower.setRole({place: 0, count: 1});
+  follower.setRole({rank: 0, count: 1});
   follower.start();
   return follower;
 }
@@ -122,7 +122,7 @@
       const settings = createTableSettings();
       const tables = createTables(wrap(door), settings, clock, log);
       const follower = tables.configuration;
-      follower.setRole({place, count: PLACES.length});
+      follower.setRole({rank: place, count: PLACES.length});
       follower.start();
       doors.push(door);
       followers.push(follower);
@@ -237,7 +237,7 @@
   it('are kept for a while when another host reports the restore first', async () => {
     const bed = createBed();
     const {clock, store, follower} = bed;
-    follower.setRole({place: 0, count: 1});
+    follower.setRole({rank: 0, count: 1});
     follower.start();
     await clock.run(20);
     const {revision} = restored;
--- a/scripts/change_trials.mjs
+++ b/scripts/change_trials.mjs
@@ -33,7 +33,7 @@
   ],
   [
     'change: readers keep their turns apart',
-    `${DECISIONS}/reader_turns.js`,
+    `${DECISIONS}/poll_stagger.js`,
     'SHIFT_PART = 0.5',
     'SHIFT_PART = 0',
     FLEET,
@@ -105,7 +105,7 @@
   ],
   [
     'change: the store is asked to wait whole times',
-    `${DECISIONS}/reader_turns.js`,
+    `${DECISIONS}/poll_stagger.js`,
     'Math.round(turnMs * turns + shiftMs)',
     'turnMs * turns + shiftMs',
     'gateway/table_follower',
--- a/scripts/check_proofs.mjs
+++ b/scripts/check_proofs.mjs
@@ -158,7 +158,7 @@
   ],
   [
     'a host that is cut off refuses',
-    `${DECISIONS}/serving_right.js`,
+    `${DECISIONS}/serving_decision.js`,
     "'refuse_cut_off'",
     "'serve'",
     'testkit/configuration',
--- a/scripts/limit_trials.mjs
+++ b/scripts/limit_trials.mjs
@@ -19,7 +19,7 @@
     'limit: one host hands out permits for all',
     `${GATEWAY}/services/send_limits.js`,
     'const issuer = this.findIssuer(instanceId, turn);',
-    'const issuer = this.parts.identity.name; this.issuers.update({names: [issuer], mayLive: 1});',
+    'const issuer = this.parts.identity.name; this.issuers.update({names: [issuer], possiblyAlive: 1});',
     SUM,
     'used where all name one',
   ],
@@ -41,7 +41,7 @@
   ],
   [
     'limit: an answer asked for before it was named does not end it',
-    `${DECISIONS}/limit_belief.js`,
+    `${DECISIONS}/advertised_limit.js`,
     'report.at > known.at',
     'true',
     PURE,
@@ -49,7 +49,7 @@
   ],
   [
     'limit: what cannot be read is bounded',
-    `${DECISIONS}/limit_belief.js`,
+    `${DECISIONS}/advertised_limit.js`,
     'UNREADABLE_PER_SECOND = 1',
     'UNREADABLE_PER_SECOND = 1e6',
     SUM,
@@ -81,7 +81,7 @@
   ],
   [
     'limit: who was told to come back counts',
-    `${DECISIONS}/return_queue.js`,
+    `${DECISIONS}/retry_schedule.js`,
     'const from = Math.max(now, this.lastAt)',
     'const from = now',
     PURE,
