--- a/packages/gateway/src/services/crash_pages.ts
+++ b/packages/gateway/src/services/crash_pages.ts
@@ -49,7 +49,7 @@
   const now = clock.getNow();
   return crashes.listContents().map(({content, instanceIds, lastAt}) => ({
     content,
-    verdict: crashes.decide(content),
+    verdict: crashes.getVerdict(content),
     endpoints: instanceIds,
     lastSecondsAgo: Math.round((now - lastAt) / 1000),
   }));
--- a/packages/gateway/src/services/crashes.ts
+++ b/packages/gateway/src/services/crashes.ts
@@ -55,7 +55,7 @@
       hasRow: (key) => table.replica.hasCurrent(key),
       listKeys: (content) => index.listKeys(content),
     });
-    api.spreader = {
+    api.publisher = {
       publishCrash: (crash, isUrgent) => {
         notices.publishCrash(crash, isUrgent);
       },
@@ -125,7 +125,7 @@
     collect() {
       this.reset();
       for (const {content} of records.listContents()) {
-        this.inc({verdict: records.decide(content)});
+        this.inc({verdict: records.getVerdict(content)});
       }
     },
   });
--- a/packages/gateway/src/services/endpoint_uses.ts
+++ b/packages/gateway/src/services/endpoint_uses.ts
@@ -43,18 +43,18 @@
   findUseBut(instanceId: string, host: string): ToldUse | undefined {
     const record = this.endpoints.find(instanceId);
     if (record?.isUsable !== true) return undefined;
-    const use = record.getUseBut(host);
+    const use = record.getUseExcept(host);
     return {instanceId, ...use, failures: record.failureScore};
   }
 
   applyUses(host: string, uses: HostUses): void {
     for (const instanceId of this.toldBy.get(host) ?? []) {
       if (uses[instanceId] !== undefined) continue;
-      this.endpoints.find(instanceId)?.setOthersUse(host, undefined);
+      this.endpoints.find(instanceId)?.setPeerUse(host, undefined);
     }
     const told = Object.keys(uses);
     for (const instanceId of told) {
-      this.endpoints.find(instanceId)?.setOthersUse(host, uses[instanceId]);
+      this.endpoints.find(instanceId)?.setPeerUse(host, uses[instanceId]);
     }
     if (told.length > 0) this.toldBy.set(host, told);
     else this.toldBy.delete(host);
--- a/packages/gateway/src/services/front.ts
+++ b/packages/gateway/src/services/front.ts
@@ -13,12 +13,12 @@
 import {EndpointClient} from '../channels/endpoint_client.js';
 import {startListening} from '../channels/listening.js';
 import {CallerExchange} from '../serving/caller_exchange.js';
-import {EndpointEndCheck} from '../serving/endpoint_end.js';
+import {EndpointExitCheck} from '../serving/endpoint_exit_check.js';
 import {EndpointProber} from '../serving/endpoint_prober.js';
-import {EngineCaller} from '../serving/engine_caller.js';
-import {KeptPromptFinder} from '../serving/kept_prompts.js';
+import {EngineClient} from '../serving/engine_client.js';
+import {PromptCacheFinder} from '../serving/prompt_cache_finder.js';
 import {LostRuns} from '../serving/lost_runs.js';
-import {RepeatBudgets} from '../serving/repeat_budgets.js';
+import {RetryBudgets} from '../serving/retry_budgets.js';
 import {RequestHandler} from '../serving/request_handler.js';
 import {ServingMetrics} from '../serving/serving_metrics.js';
 import type {ServingParts} from '../serving/serving_parts.js';
@@ -115,7 +115,7 @@
       live: {
         keys: ['retryRatio', 'retryAllowance', 'retryWindowSeconds'],
         apply: (changed) => {
-          parts.budgets.setBounds(createBudgetOptions(changed));
+          parts.retryBudgets.setBounds(createBudgetOptions(changed));
         },
       },
       start: () => startListening(server, settings.listen),
@@ -146,7 +146,7 @@
   const endpoints = context.find(GATEWAY_ENDPOINTS);
   const gate = createGate(context);
   const client = new EndpointClient(codec, gate, clock);
-  const engines = new EngineCaller(client);
+  const engines = new EngineClient(client);
   const servingMetrics = new ServingMetrics(metrics);
   const crashes = context.find(CRASHES);
   const {reportPath} = codec;
@@ -156,17 +156,17 @@
     random,
     log,
     codec,
-    copies,
+    copyCodec: copies,
     client,
-    engines,
+    engineClient: engines,
     successors: new SuccessorFinder({
-      engines,
+      engineClient: engines,
       codec: codecs.engineReports,
       configuration,
       endpoints,
       log,
     }),
-    keptPrompts: new KeptPromptFinder(
+    promptCaches: new PromptCacheFinder(
       engines,
       keptPrompts,
       peers.place.failureDomain,
@@ -175,7 +175,7 @@
     ),
     configuration,
     endpoints,
-    budgets: new RepeatBudgets(
+    retryBudgets: new RetryBudgets(
       createBudgetOptions(settings),
       () => peers.countServing(),
       () => clock.getNow(),
@@ -185,7 +185,7 @@
     runLeases: context.find(RUN_LEASES),
     gate,
     lostRuns: new LostRuns({
-      check,
+      exitCheck: check,
       crashes,
       metrics: servingMetrics,
       clock,
@@ -209,8 +209,8 @@
   context: ServiceContext,
   client: EndpointClient,
   reportPath: string,
-): EndpointEndCheck {
-  return new EndpointEndCheck({
+): EndpointExitCheck {
+  return new EndpointExitCheck({
     client,
     reportPath,
     endpoints: context.find(GATEWAY_ENDPOINTS),
--- a/packages/gateway/src/services/gateway_endpoints.ts
+++ b/packages/gateway/src/services/gateway_endpoints.ts
@@ -11,7 +11,7 @@
 import type {Counter} from 'prom-client';
 import {formatInstanceId, type EndpointEntry} from '../model/endpoint_entry.js';
 import type {RowCodec} from '../model/watched_table.js';
-import {EndpointRecord, type GoneCause} from '../serving/endpoint_record.js';
+import {EndpointRecord, type RemovalCause} from '../serving/endpoint_record.js';
 import {AddressIndex} from './address_index.js';
 import type {EndpointPauses} from './endpoint_pauses.js';
 import {LeavingStarts} from './leaving_starts.js';
@@ -317,7 +317,7 @@
   private remove(
     record: EndpointRecord,
     reason: string,
-    cause: GoneCause = 'withdrawn',
+    cause: RemovalCause = 'withdrawn',
   ): void {
     this.records.delete(record.instanceId);
     this.starts.delete(record.endpointId);
@@ -325,7 +325,7 @@
     this.vanished.delete(record);
     this.unlisted.delete(record);
     this.version++;
-    record.markGone(cause);
+    record.markRemoved(cause);
     this.handleChange?.();
     const {instanceId: endpoint, address} = record;
     this.parts.log.writeInfo('An endpoint is gone.', {
--- a/packages/gateway/src/services/rollout_decider.ts
+++ b/packages/gateway/src/services/rollout_decider.ts
@@ -75,7 +75,7 @@
     state: RolloutState,
   ): Parameters<typeof decideNextPhase>[0] {
     const {rollouts, bounds, clock, listHosts} = this.parts;
-    const newEndpoints = rollouts.listNew(state).length;
+    const newEndpoints = rollouts.listNewEndpoints(state).length;
     return state.createView(listHosts(), newEndpoints, bounds, clock.getNow());
   }
 
@@ -90,7 +90,7 @@
       trialSends,
       requests,
     });
-    this.parts.rollouts.handleAdvanced(state);
+    this.parts.rollouts.handlePhaseChange(state);
     this.parts.publishPhase(state);
   }
 
--- a/packages/gateway/src/services/rollout_runner.ts
+++ b/packages/gateway/src/services/rollout_runner.ts
@@ -85,7 +85,7 @@
       if (state?.revision !== report.revision) continue;
       state.addReport(name, report);
       if (state.setPhase(report.phase)) {
-        this.parts.rollouts.handleAdvanced(state);
+        this.parts.rollouts.handlePhaseChange(state);
       }
       // A host that started after the end would else never hear of it.
       if (report.phase !== state.phase) this.publishPhase(state, [name]);
@@ -96,7 +96,7 @@
   acceptPhase({service, revision, phase}: RolloutPhaseDatagram): void {
     const state = this.parts.rollouts.find(service);
     if (state?.revision !== revision || !state.setPhase(phase)) return;
-    this.parts.rollouts.handleAdvanced(state);
+    this.parts.rollouts.handlePhaseChange(state);
   }
 
   /**
--- a/packages/gateway/src/services/run_lease_client.ts
+++ b/packages/gateway/src/services/run_lease_client.ts
@@ -55,7 +55,7 @@
 
   async acquire(request: LeaseRequest): Promise<LeaseOutcome> {
     const {clock} = this.parts;
-    const {content, signal, mostMs, isNeeded} = request;
+    const {content, signal, maxWaitMs: mostMs, isNeeded} = request;
     const run = this.createRun(content);
     const startedAt = clock.getNow();
     let answeredAt = startedAt;
--- a/packages/gateway/src/serving/call_driver.ts
+++ b/packages/gateway/src/serving/call_driver.ts
@@ -8,10 +8,13 @@
 import type {EndpointAnswer} from '../channels/endpoint_client.js';
 import {GATEWAY_ERRORS} from '../errors.js';
 import type {ServingRoute} from '../model/serving_configuration.js';
-import {readPlainAnswer, type AnswerReading} from './answer_reading.js';
+import {
+  readPlainAnswer,
+  type PlainAnswerResult,
+} from './plain_answer_reader.js';
 import type {AdmittedRequest, PlainAnswer} from './caller_exchange.js';
 import type {EndpointRecord, UseClaim} from './endpoint_record.js';
-import {listLive} from './live_endpoints.js';
+import {listLiveEndpoints} from './live_endpoints.js';
 import type {SendPermit} from './send_gate.js';
 import {SendHolds} from './send_holds.js';
 import {
@@ -21,10 +24,10 @@
   createRefused,
   FAILURE_WEIGHTS,
   MAX_BUSY_WAIT_MS,
-  recordLoss,
+  recordEndpointFailure,
 } from './send_rules.js';
-import {getRandomPart, type ServingParts} from './serving_parts.js';
-import {SuspectRun} from './suspect_run.js';
+import {getRandomFraction, type ServingParts} from './serving_parts.js';
+import {SuspectRunAdmission} from './suspect_run.js';
 
 /** Sends that certainly did not run may be repeated this often. */
 const MAX_NOT_RUN = 3;
@@ -43,7 +46,7 @@
   private mayHaveRun = false;
   private hasLooked = false;
   private readonly holds: SendHolds;
-  private readonly suspect: SuspectRun;
+  private readonly suspect: SuspectRunAdmission;
   private isBusy = false;
 
   constructor(
@@ -53,7 +56,7 @@
     private readonly service: string,
   ) {
     this.holds = new SendHolds(parts);
-    this.suspect = new SuspectRun(parts, request);
+    this.suspect = new SuspectRunAdmission(parts, request);
   }
 
   /** Sends until there is a final answer; gives its outcome for the figures. */
@@ -84,7 +87,7 @@
         continue;
       }
       const result = await this.send(endpoint, permit);
-      if (this.request.exchange.hasLeft()) return 'left';
+      if (this.request.exchange.hasDisconnected()) return 'left';
       this.record(endpoint, result);
       await this.checkEnd(endpoint, result);
       if (this.request.exchange.isExpired) return this.finishExpired();
@@ -95,7 +98,7 @@
   /** Gives the outcome of a call whose caller left or whose time is over. */
   private findEnd(): string | undefined {
     const {exchange} = this.request;
-    if (exchange.hasLeft()) return 'left';
+    if (exchange.hasDisconnected()) return 'left';
     return exchange.isExpired ? this.finishExpired() : undefined;
   }
 
@@ -104,18 +107,18 @@
     const isFirst = !this.hasLooked;
     this.hasLooked = true;
     const trial = isFirst ? rollouts.takeTrial(this.service) : undefined;
-    const usable = trial ?? listLive(this.parts, this.service);
+    const usable = trial ?? listLiveEndpoints(this.parts, this.service);
     const unconfirmed = isFirst ? gate.takeUnconfirmed(usable) : undefined;
     if (unconfirmed !== undefined) return unconfirmed;
     return choosePlainEndpoint(usable, this.excluded, () =>
-      getRandomPart(this.parts.random),
+      getRandomFraction(this.parts.random),
     );
   }
 
   private async send(
     endpoint: EndpointRecord,
     permit: SendPermit,
-  ): Promise<AnswerReading> {
+  ): Promise<PlainAnswerResult> {
     const {exchange, requestId, terms, team, body} = this.request;
     this.lastEndpoint = endpoint;
     this.sends++;
@@ -148,7 +151,7 @@
       }
       return result;
     } finally {
-      endpoint.dropClaim(claim);
+      endpoint.releaseClaim(claim);
     }
   }
 
@@ -156,7 +159,7 @@
     endpoint: EndpointRecord,
     answer: EndpointAnswer,
     requestId: string,
-  ): Promise<AnswerReading> {
+  ): Promise<PlainAnswerResult> {
     const fault = findAnswerFault(answer, requestId);
     if (fault !== undefined) {
       answer.close();
@@ -168,7 +171,7 @@
 
   private recordAnswer(
     endpoint: EndpointRecord,
-    result: AnswerReading,
+    result: PlainAnswerResult,
     ms: number,
   ): void {
     if (result.kind !== 'whole') return;
@@ -178,7 +181,7 @@
   }
 
   /** Notes what a send says of the endpoint and of the request. */
-  private record(endpoint: EndpointRecord, result: AnswerReading): void {
+  private record(endpoint: EndpointRecord, result: PlainAnswerResult): void {
     const {log, metrics} = this.parts;
     this.excluded.add(endpoint.instanceId);
     if (result.kind === 'whole') {
@@ -191,7 +194,7 @@
       return;
     }
     const mayHaveRun = result.kind === 'lost' && result.mayHaveRun;
-    recordLoss(this.parts.endpoints, endpoint, result.kind);
+    recordEndpointFailure(this.parts.endpoints, endpoint, result.kind);
     if (mayHaveRun) {
       this.runs++;
       this.mayHaveRun = true;
@@ -217,13 +220,13 @@
    */
   private async checkEnd(
     endpoint: EndpointRecord,
-    result: AnswerReading,
+    result: PlainAnswerResult,
   ): Promise<void> {
     const {crashes, lostRuns} = this.parts;
     const {requestId, content, exchange} = this.request;
     if (result.kind === 'whole') {
       if (result.answer.status < FAILED_STATUS) {
-        crashes.recordEndedWell(content);
+        crashes.recordCompletion(content);
       }
       return;
     }
@@ -239,7 +242,7 @@
     return this.parts.crashes.isRefused(this.request.content);
   }
 
-  private isRepeatAllowed(result: AnswerReading): boolean {
+  private isRepeatAllowed(result: PlainAnswerResult): boolean {
     const {route} = this;
     if (this.notRun > MAX_NOT_RUN) return false;
     const isWhole = result.kind === 'whole';
@@ -252,7 +255,7 @@
     if (computeRemainingMs(this.request, route, now) < MIN_SEND_MS) {
       return false;
     }
-    return this.parts.budgets.takeRepeat(this.service);
+    return this.parts.retryBudgets.takeRetry(this.service);
   }
 
   private finish(): string {
--- a/packages/gateway/src/serving/caller_exchange.ts
+++ b/packages/gateway/src/serving/caller_exchange.ts
@@ -58,12 +58,12 @@
   }
 
   /** The host that the caller named. */
-  get hostLine(): string {
+  get hostHeader(): string {
     return this.message.headers.host ?? '';
   }
 
   /** Whether the caller left before its answer was whole. */
-  hasLeft(): boolean {
+  hasDisconnected(): boolean {
     return this.response.destroyed && !this.response.writableFinished;
   }
 
@@ -136,7 +136,7 @@
   }
 
   /** Resolves when the caller takes more, or the request has ended. */
-  async waitForRoom(): Promise<void> {
+  async waitForDrain(): Promise<void> {
     await new Promise<void>((resolve) => {
       const finish = (): void => {
         this.response.removeListener('drain', finish);
@@ -205,5 +205,5 @@
   /** The name of its content, the same for each try of its caller. */
   readonly content: string;
   /** When the caller stops waiting, on the monotonic clock; may be Infinity. */
-  readonly callerUntil: number;
+  readonly callerDeadline: number;
 }
--- a/packages/gateway/src/serving/crash_records.ts
+++ b/packages/gateway/src/serving/crash_records.ts
@@ -12,7 +12,7 @@
 import {formatCrashKey, isCrash} from '../model/crash_row.js';
 
 /** Tells other hosts, and keeps what must last. */
-export interface CrashSpreader {
+export interface CrashPublisher {
   /**
    * Tells all hosts of a crash that this host saw.
    *
@@ -47,7 +47,7 @@
 /** The records. */
 export class CrashRecords {
   /** Set by the service that reaches the other hosts and the store. */
-  spreader: CrashSpreader | undefined;
+  publisher: CrashPublisher | undefined;
   /** Contents of which this host saw a crash itself. */
   private readonly seenHere = new Set<string>();
   /**
@@ -59,13 +59,13 @@
   constructor(private readonly parts: CrashRecordsParts) {}
 
   /** Says what is done with a content. */
-  decide(content: string): ContentVerdict {
+  getVerdict(content: string): ContentVerdict {
     return this.parts.ledger.decide(content);
   }
 
   /** Whether a content ended too many endpoints, here or elsewhere. */
   isRefused(content: string): boolean {
-    return this.decide(content) === 'refused';
+    return this.getVerdict(content) === 'refused';
   }
 
   /** Gives the number of crashes of a content. */
@@ -79,7 +79,7 @@
   }
 
   /** Whether any crash is remembered. */
-  get hasAny(): boolean {
+  get hasCrashes(): boolean {
     return this.parts.ledger.size > 0;
   }
 
@@ -99,11 +99,11 @@
     if (!this.add(crash)) return;
     // The caller may come to another host as soon as it has its answer.
     const isUrgent = this.countCrashes(crash.content) >= SAVED_FROM;
-    this.spreader?.publishCrash(crash, isUrgent);
+    this.publisher?.publishCrash(crash, isUrgent);
   }
 
   /** Takes it that a content was run to its end. */
-  recordEndedWell(content: string): void {
+  recordCompletion(content: string): void {
     if (this.countCrashes(content) === 0) return;
     this.dropContent(content, 'it was run to its end');
   }
@@ -116,8 +116,8 @@
       reason,
     });
     this.drop(content);
-    this.spreader?.publishCleared(content);
-    this.spreader?.deleteCrashes(content);
+    this.publisher?.publishCleared(content);
+    this.publisher?.deleteCrashes(content);
   }
 
   /** Takes crashes that another host or the store told. */
@@ -172,7 +172,7 @@
     // Who saw one keeps all: the host that saw another may be lost by now.
     const isKept = ledger.countCrashes(content) >= SAVED_FROM;
     if (isKept && this.seenHere.has(content)) {
-      this.spreader?.saveCrashes(ledger.listCrashes(content));
+      this.publisher?.saveCrashes(ledger.listCrashes(content));
     }
     return true;
   }
--- a/packages/gateway/src/serving/endpoint_end.ts
+++ b/packages/gateway/src/serving/endpoint_exit_check.ts
@@ -11,7 +11,7 @@
 import type {EndpointRecord} from './endpoint_record.js';
 
 /** What became of an endpoint. */
-export type EndpointEnd =
+export type EndpointExitState =
   /** It answers: only the connection was lost. */
   | 'answers'
   /** It has ended, and not all others of its failure domain have. */
@@ -36,7 +36,7 @@
 const MAX_TRIES = 4;
 
 /** What the check works with. */
-export interface EndpointEndParts {
+export interface EndpointExitCheckParts {
   readonly client: Pick<EndpointClient, 'admit' | 'send'>;
   readonly reportPath: string;
   readonly endpoints: Pick<GatewayEndpoints, 'listUsable'>;
@@ -46,13 +46,13 @@
 }
 
 /** Asks endpoints whether they have ended; those that wait share a question. */
-export class EndpointEndCheck {
-  private readonly asked = new Map<string, Promise<EndpointEnd>>();
+export class EndpointExitCheck {
+  private readonly asked = new Map<string, Promise<EndpointExitState>>();
 
-  constructor(private readonly parts: EndpointEndParts) {}
+  constructor(private readonly parts: EndpointExitCheckParts) {}
 
   /** Finds out what became of an endpoint under whose run a connection was lost. */
-  async check(endpoint: EndpointRecord): Promise<EndpointEnd> {
+  async check(endpoint: EndpointRecord): Promise<EndpointExitState> {
     const {instanceId} = endpoint;
     const asked = this.asked.get(instanceId);
     if (asked !== undefined) return asked;
@@ -63,7 +63,9 @@
     return question;
   }
 
-  private async checkOnce(endpoint: EndpointRecord): Promise<EndpointEnd> {
+  private async checkOnce(
+    endpoint: EndpointRecord,
+  ): Promise<EndpointExitState> {
     const state = await this.probe(endpoint);
     if (state !== 'ended') return state;
     const {neighbors, hasCrashed} = this.chooseNeighbors(endpoint);
--- a/packages/gateway/src/serving/endpoint_record.ts
+++ b/packages/gateway/src/serving/endpoint_record.ts
@@ -49,7 +49,7 @@
  * Why an endpoint is not used any more: its entry was withdrawn, and what runs
  * there goes on; or it started anew, and what ran there is lost.
  */
-export type GoneCause = 'restarted' | 'withdrawn';
+export type RemovalCause = 'restarted' | 'withdrawn';
 
 /**
  * How long what runs at an endpoint is not worked out anew while nothing changed
@@ -72,9 +72,9 @@
 /** One endpoint. */
 export class EndpointRecord implements EngineView, PlainView {
   /** Whether a roll-out keeps usual requests from it. */
-  isBarred = false;
-  private goneCause: GoneCause | undefined;
-  private readonly goneListeners = new Set<(cause: GoneCause) => void>();
+  isExcludedByRollout = false;
+  private goneCause: RemovalCause | undefined;
+  private readonly goneListeners = new Set<(cause: RemovalCause) => void>();
   private readonly claims = new Set<UseClaim>();
   private readonly othersUse = new Map<string, ToldUse>();
   private homeUse: ToldUse | undefined;
@@ -94,7 +94,7 @@
   ) {}
 
   /** Whether it is not to be used any more. */
-  get isGone(): boolean {
+  get isRemoved(): boolean {
     return this.goneCause !== undefined;
   }
 
@@ -124,12 +124,12 @@
 
   /** Whether it takes work. */
   get isReady(): boolean {
-    return !this.isGone && this.entry.state === 'ready';
+    return !this.isRemoved && this.entry.state === 'ready';
   }
 
   /** Whether it may get usual requests. */
   get isUsable(): boolean {
-    return this.isReady && !this.isBarred;
+    return this.isReady && !this.isExcludedByRollout;
   }
 
   get answerMs(): number {
@@ -167,7 +167,7 @@
   }
 
   /** Takes it that it is not to be used any more. */
-  markGone(cause: GoneCause): void {
+  markRemoved(cause: RemovalCause): void {
     this.goneCause = cause;
     const listeners = [...this.goneListeners];
     this.goneListeners.clear();
@@ -179,7 +179,7 @@
    *
    * @returns Ends the watch.
    */
-  watchGone(listener: (cause: GoneCause) => void): () => void {
+  watchRemoval(listener: (cause: RemovalCause) => void): () => void {
     if (this.goneCause === undefined) this.goneListeners.add(listener);
     else listener(this.goneCause);
     return () => this.goneListeners.delete(listener);
@@ -197,26 +197,26 @@
   }
 
   /** Takes it that the prompt of a claim was read. */
-  markRead(claim: UseClaim): void {
+  markPromptRead(claim: UseClaim): void {
     claim.unreadTokens = 0;
     this.sum = undefined;
   }
 
   /** Ends a claim. */
-  dropClaim(claim: UseClaim): void {
+  releaseClaim(claim: UseClaim): void {
     this.claims.delete(claim);
     this.sum = undefined;
   }
 
   /** Takes what another host told that it has there. */
-  setOthersUse(host: string, use: EndpointUse | undefined): void {
+  setPeerUse(host: string, use: EndpointUse | undefined): void {
     if (use === undefined) this.othersUse.delete(host);
     else this.othersUse.set(host, {use, toldAt: this.getNow()});
     this.sum = undefined;
   }
 
   /** Takes what the home group of an engine of another group told. */
-  setHomeUse(use: EndpointUse, failures: number): void {
+  setHomeGroupUse(use: EndpointUse, failures: number): void {
     this.homeUse = {use, toldAt: this.getNow()};
     this.sum = undefined;
     if (failures <= this.failureScore) return;
@@ -225,7 +225,7 @@
   }
 
   /** Gives what runs there, but for what one other host has there. */
-  getUseBut(host: string): EndpointUse {
+  getUseExcept(host: string): EndpointUse {
     return this.computeSum(this.getNow(), host);
   }
 
--- a/packages/gateway/src/serving/engine_caller.ts
+++ b/packages/gateway/src/serving/engine_client.ts
@@ -14,7 +14,7 @@
 }
 
 /** Makes short calls to engines. */
-export class EngineCaller {
+export class EngineClient {
   constructor(private readonly client: EndpointClient) {}
 
   /**
--- a/packages/gateway/src/serving/copy_keeper.ts
+++ b/packages/gateway/src/serving/kv_cache_replicator.ts
@@ -7,12 +7,12 @@
 import {chooseBackup, type EngineRequest} from '@irisdock/decisions';
 import type {EngineCall, MemorySource} from '../model/request_terms.js';
 import type {EndpointRecord} from './endpoint_record.js';
-import type {EngineAnswer} from './engine_caller.js';
-import {listLive} from './live_endpoints.js';
-import {getRandomPart, type ServingParts} from './serving_parts.js';
+import type {EngineAnswer} from './engine_client.js';
+import {listLiveEndpoints} from './live_endpoints.js';
+import {getRandomFraction, type ServingParts} from './serving_parts.js';
 
 /** Where a copy is kept, and the name under which it is found there. */
-export interface KeptCopy {
+export interface KvCacheReplica {
   readonly source: MemorySource;
   readonly holder: EndpointRecord;
 }
@@ -30,8 +30,8 @@
 const MAX_FAILED = 4;
 
 /** Keeps the copy of one attempt. */
-export class CopyKeeper {
-  private copy: KeptCopy | undefined;
+export class KvCacheReplicator {
+  private copy: KvCacheReplica | undefined;
   private timer: NodeJS.Timeout | undefined;
   private ignoreGone: (() => void) | undefined;
   private failed = 0;
@@ -61,7 +61,7 @@
   }
 
   /** Gives where a copy is kept; undefined when there is none. */
-  findCopy(): KeptCopy | undefined {
+  findReplica(): KvCacheReplica | undefined {
     return this.copy;
   }
 
@@ -76,11 +76,11 @@
   }
 
   /** Takes a copy, and looks for another place once its holder is gone. */
-  private keep(copy: KeptCopy): void {
+  private keep(copy: KvCacheReplica): void {
     this.copy = copy;
     this.ignoreGone?.();
-    this.ignoreGone = copy.holder.watchGone(() => {
-      this.plan(CHECK_MS * getRandomPart(this.parts.random));
+    this.ignoreGone = copy.holder.watchRemoval(() => {
+      this.plan(CHECK_MS * getRandomFraction(this.parts.random));
     });
     const isOwn = copy.source.name === this.requestId;
     if (!isOwn) this.plan(RENEW_MS);
@@ -96,7 +96,7 @@
   private async sendAnew(): Promise<void> {
     if (this.isCopying) return;
     const {copy} = this;
-    const isThere = copy !== undefined && !copy.holder.isGone;
+    const isThere = copy !== undefined && !copy.holder.isRemoved;
     const target = isThere ? copy.holder : this.chooseTarget();
     this.isCopying = true;
     const isCopied = target !== undefined && (await this.sendCopy(target));
@@ -107,14 +107,14 @@
   private chooseTarget(): EndpointRecord | undefined {
     const {rollouts} = this.parts;
     const {service} = this.primary.entry;
-    const usable = listLive(this.parts, service).filter((engine) =>
+    const usable = listLiveEndpoints(this.parts, service).filter((engine) =>
       rollouts.isSameSide(engine, this.primary),
     );
     return chooseBackup(usable, this.primary, this.engineRequest);
   }
 
   private async sendCopy(target: EndpointRecord): Promise<boolean> {
-    const {copies, log} = this.parts;
+    const {copyCodec: copies, log} = this.parts;
     const call = copies.encodeCopy(this.requestId, target.address);
     const answer = await this.send(call);
     const name =
@@ -146,10 +146,10 @@
   }
 
   private dropCopy(name: string): void {
-    void this.send(this.parts.copies.encodeDropCopy(name));
+    void this.send(this.parts.copyCodec.encodeDropCopy(name));
   }
 
   private async send(call: EngineCall): Promise<EngineAnswer | undefined> {
-    return this.parts.engines.send(this.primary, call, COPY_TIMEOUT_MS);
+    return this.parts.engineClient.send(this.primary, call, COPY_TIMEOUT_MS);
   }
 }
--- a/packages/gateway/src/serving/live_endpoints.ts
+++ b/packages/gateway/src/serving/live_endpoints.ts
@@ -10,12 +10,12 @@
  * Lists the usable endpoints of a service without those that are known to have ended
  * under a run; with them when no other is left, as a report may be wrong.
  */
-export function listLive(
+export function listLiveEndpoints(
   {endpoints, crashes}: Pick<ServingParts, 'crashes' | 'endpoints'>,
   service: string,
 ): readonly EndpointRecord[] {
   const usable = endpoints.listUsable(service);
-  if (!crashes.hasAny) return usable;
+  if (!crashes.hasCrashes) return usable;
   const live = usable.filter(({instanceId}) => !crashes.hasCrashed(instanceId));
   return live.length === 0 ? usable : live;
 }
--- a/packages/gateway/src/serving/lost_runs.ts
+++ b/packages/gateway/src/serving/lost_runs.ts
@@ -6,7 +6,7 @@
  */
 import type {Clock, Logger} from '@irisdock/kernel';
 import type {CrashRecords} from './crash_records.js';
-import type {EndpointEndCheck} from './endpoint_end.js';
+import type {EndpointExitCheck} from './endpoint_exit_check.js';
 import type {EndpointRecord} from './endpoint_record.js';
 import type {ServingMetrics} from './serving_metrics.js';
 
@@ -14,7 +14,7 @@
  * How long reports of other hosts on a lost endpoint may take, in ms. What ran
  * there from another host is lost at the same moment and reported a little later.
  */
-export const REPORTS_MS = 50;
+export const REPORT_WAIT_MS = 50;
 
 /** A run that was lost. */
 export interface LostRun {
@@ -26,7 +26,7 @@
 
 /** What the lost runs work with. */
 export interface LostRunsParts {
-  readonly check: Pick<EndpointEndCheck, 'check'>;
+  readonly exitCheck: Pick<EndpointExitCheck, 'check'>;
   readonly crashes: CrashRecords;
   readonly metrics: ServingMetrics;
   readonly clock: Clock;
@@ -67,7 +67,7 @@
       await Promise.race([known, clock.wait(mostMs, signal)]);
     }
     // A content that seems to be the cause may be cleared by what others report.
-    if (crashes.isRefused(content)) await clock.wait(REPORTS_MS, signal);
+    if (crashes.isRefused(content)) await clock.wait(REPORT_WAIT_MS, signal);
   }
 
   private async checkEnd(run: LostRun): Promise<void> {
@@ -84,7 +84,7 @@
     content,
     endpoint,
   }: LostRun): Promise<void> {
-    const {check, crashes, metrics, log} = this.parts;
+    const {exitCheck: check, crashes, metrics, log} = this.parts;
     const {instanceId, isReady: wasReady} = endpoint;
     const ownRuns = endpoint.getOwnUse().running;
     const end = await check.check(endpoint);
--- a/packages/gateway/src/serving/answer_reading.ts
+++ b/packages/gateway/src/serving/plain_answer_reader.ts
@@ -9,7 +9,7 @@
 import type {EndpointRecord} from './endpoint_record.js';
 
 /** The reading. */
-export type AnswerReading =
+export type PlainAnswerResult =
   /** The endpoint did not run it. */
   | {readonly kind: 'refused'; readonly detail: string}
   /** It ran or may have run, and its answer cannot be used. */
@@ -25,7 +25,7 @@
   endpoints: GatewayEndpoints,
   endpoint: EndpointRecord,
   answer: EndpointAnswer,
-): Promise<AnswerReading> {
+): Promise<PlainAnswerResult> {
   const {status, terms, lines, isFramed} = answer;
   const body = await readAnswerBody(answer);
   if (status === MISDIRECTED_STATUS) {
--- a/packages/gateway/src/serving/plan_search.ts
+++ b/packages/gateway/src/serving/plan_search.ts
@@ -34,7 +34,7 @@
     this.until ??= this.decideEnd(isBegun);
     const {until} = this;
     for (;;) {
-      await planner.findFarEngines();
+      await planner.pollRemoteEngines();
       const plan = planner.choosePlan();
       if (plan !== undefined || signal.aborted) return plan;
       if (clock.getNow() >= until) return undefined;
--- a/packages/gateway/src/serving/kept_prompts.ts
+++ b/packages/gateway/src/serving/prompt_cache_finder.ts
@@ -14,7 +14,7 @@
 import type {Clock, Logger} from '@irisdock/kernel';
 import type {KeptPromptCodec} from '../model/request_terms.js';
 import type {EndpointRecord} from './endpoint_record.js';
-import type {EngineCaller} from './engine_caller.js';
+import type {EngineClient} from './engine_client.js';
 
 /** Tokens kept of each part, by the part's id. */
 type KeptParts = ReadonlyMap<string, number>;
@@ -37,11 +37,11 @@
 const USE_MS = 100;
 
 /** Asks engines for the prompts that they keep. */
-export class KeptPromptFinder {
+export class PromptCacheFinder {
   private readonly answers = new Map<string, KeptAnswer>();
 
   constructor(
-    private readonly engines: EngineCaller,
+    private readonly engines: EngineClient,
     private readonly codec: KeptPromptCodec,
     private readonly ownDomain: string,
     private readonly clock: Clock,
@@ -49,7 +49,7 @@
   ) {}
 
   /** Gives the tokens that engines keep of a prompt, by instance id. */
-  async findKept(
+  async findCachedTokens(
     engines: readonly EndpointRecord[],
     prompt: readonly PromptPartView[],
   ): Promise<ReadonlyMap<string, number>> {
--- a/packages/gateway/src/serving/request_handler.ts
+++ b/packages/gateway/src/serving/request_handler.ts
@@ -12,7 +12,7 @@
 import {hashContent} from './request_content.js';
 import {decideRetryAfter} from './retry_after.js';
 import {createNotRun, createRefused} from './send_rules.js';
-import {getRandomPart, type ServingParts} from './serving_parts.js';
+import {getRandomFraction, type ServingParts} from './serving_parts.js';
 import {StreamDriver} from './stream_driver.js';
 
 const MILLI = 1000;
@@ -42,7 +42,7 @@
       this.refuse(exchange, this.createRetryable('no_configuration'));
       return;
     }
-    const route = configuration.findRoute(exchange.hostLine, exchange.path);
+    const route = configuration.findRoute(exchange.hostHeader, exchange.path);
     if (route === undefined) {
       this.refuseUnknown(exchange, 'no_route');
       return;
@@ -74,14 +74,14 @@
     const {parts} = this;
     const {exchange} = request;
     const startedAt = exchange.startedAt;
-    parts.budgets.addRequest(service);
+    parts.retryBudgets.recordRequest(service);
     parts.rollouts.recordRequest(service);
     const isStream = route.kind === 'stream';
     if (isStream && this.host.isTooLateForStreams) {
       this.refuse(exchange, this.createRetryable('leaving'));
       return;
     }
-    const left = Math.min(startedAt + route.timeoutMs, request.callerUntil);
+    const left = Math.min(startedAt + route.timeoutMs, request.callerDeadline);
     exchange.setTimeLimit(left - parts.clock.getNow());
     const driver = isStream
       ? new StreamDriver(parts, this.prober, request, route, service)
@@ -136,13 +136,22 @@
     const team = found.kind === 'known' ? found.team : undefined;
     const callerUntil = exchange.startedAt + (remainingMs ?? Infinity);
     const content = hashContent(team, exchange.path, body);
-    return {exchange, requestId, terms, team, body, content, callerUntil};
+    return {
+      exchange,
+      requestId,
+      terms,
+      team,
+      body,
+      content,
+      callerDeadline: callerUntil,
+    };
   }
 
   private chooseService(route: ServingRoute): string | undefined {
     const only = route.shares[0];
     if (route.shares.length === 1) return only?.service;
-    return chooseShare(route.shares, getRandomPart(this.parts.random))?.service;
+    return chooseShare(route.shares, getRandomFraction(this.parts.random))
+      ?.service;
   }
 
   /**
@@ -157,7 +166,7 @@
       this.refuse(exchange, this.createRetryable('old_configuration'));
       return;
     }
-    const host = exchange.hostLine;
+    const host = exchange.hostHeader;
     this.refuse(exchange, GATEWAY_ERRORS.create(kind, {host}));
   }
 
--- a/packages/gateway/src/serving/repeat_budgets.ts
+++ b/packages/gateway/src/serving/retry_budgets.ts
@@ -2,7 +2,7 @@
 import {WindowedBudget, type WindowedBudgetOptions} from '@irisdock/decisions';
 
 /** The budgets. */
-export class RepeatBudgets {
+export class RetryBudgets {
   private readonly budgets = new Map<string, WindowedBudget>();
 
   /** @param countHosts Gives the hosts that share each budget. */
@@ -19,12 +19,12 @@
   }
 
   /** Counts a request for a service. */
-  addRequest(service: string): void {
+  recordRequest(service: string): void {
     this.getBudget(service).addRequest(this.getNow());
   }
 
   /** Takes one repeated send; false when this host's share is used up. */
-  takeRepeat(service: string): boolean {
+  takeRetry(service: string): boolean {
     const hosts = this.countHosts();
     return this.getBudget(service).takeRepeat(this.getNow(), hosts);
   }
--- a/packages/gateway/src/serving/rollout_counts.ts
+++ b/packages/gateway/src/serving/rollout_counts.ts
@@ -12,7 +12,7 @@
 import type {RouteCount} from '../model/rollout_order.js';
 
 /** How one endpoint answered one request. */
-export interface SeenAnswer {
+export interface ObservedAnswer {
   readonly route: string;
   readonly instanceId: string;
   readonly isNew: boolean;
@@ -43,7 +43,7 @@
   readonly byEndpoint = new Map<string, MutableCount>();
   private usualMs = 0;
 
-  add({instanceId, isNew, isFailed, ms}: SeenAnswer): void {
+  add({instanceId, isNew, isFailed, ms}: ObservedAnswer): void {
     const isKnown = this.before.answers >= USUAL_FROM;
     const slowFrom = Math.max(
       SLOW_TIMES * this.usualMs,
@@ -73,7 +73,7 @@
   trialSends = 0;
   private readonly routes = new Map<string, RouteCounts>();
 
-  add(answer: SeenAnswer): void {
+  add(answer: ObservedAnswer): void {
     let counts = this.routes.get(answer.route);
     if (counts === undefined) {
       counts = new RouteCounts();
--- a/packages/gateway/src/serving/rollout_state.ts
+++ b/packages/gateway/src/serving/rollout_state.ts
@@ -15,7 +15,7 @@
 import {
   computeEvidence,
   RolloutCounts,
-  type SeenAnswer,
+  type ObservedAnswer,
 } from './rollout_counts.js';
 
 /** How an endpoint stands to a roll-out of its service. */
@@ -95,7 +95,7 @@
   }
 
   /** Takes an answer; a host that sees enough by itself goes back at once. */
-  addAnswer(answer: SeenAnswer): boolean {
+  addAnswer(answer: ObservedAnswer): boolean {
     this.counts.add(answer);
     if (!answer.isNew || this.isOver) return false;
     return this.counts.decide() === 'bad' && this.setPhase('rolled-back');
--- a/packages/gateway/src/serving/rollouts.ts
+++ b/packages/gateway/src/serving/rollouts.ts
@@ -31,7 +31,7 @@
 }
 
 /** How an endpoint answered a request. */
-export interface DrivenAnswer {
+export interface AnswerOutcome {
   readonly route: string;
   readonly isFailed: boolean;
   /** The time that says how fast it was, in ms. */
@@ -78,7 +78,7 @@
   removeOrder(service: string): void {
     const state = this.states.get(service);
     if (state === undefined || state.isOver) return;
-    if (state.setPhase('rolled-back')) this.handleAdvanced(state);
+    if (state.setPhase('rolled-back')) this.handlePhaseChange(state);
   }
 
   /** Works out anew which endpoints are open. */
@@ -91,7 +91,7 @@
     const withNew = new Set<RolloutState>();
     const withOld = new Set<RolloutState>();
     for (const state of this.states.values()) {
-      if (this.listNew(state).length > 0) withNew.add(state);
+      if (this.listNewEndpoints(state).length > 0) withNew.add(state);
       if (this.listSide(state, 'old').length > 0) withOld.add(state);
     }
     for (const record of records) {
@@ -99,7 +99,11 @@
       if (state === undefined) continue;
       const side = state.getSide(record);
       const hasNew = withNew.has(state);
-      record.isBarred = !state.isOpen(side, hasNew, withOld.has(state));
+      record.isExcludedByRollout = !state.isOpen(
+        side,
+        hasNew,
+        withOld.has(state),
+      );
     }
   }
 
@@ -114,7 +118,7 @@
     const state = this.states.get(service);
     if (state?.phase !== 'trial') return undefined;
     const {bounds, countHosts} = this.parts;
-    const found = this.listNew(state);
+    const found = this.listNewEndpoints(state);
     if (found.length === 0) return undefined;
     if (!state.takeTrial(bounds, countHosts())) return undefined;
     const ranked = found.map((record) => ({
@@ -127,14 +131,14 @@
   }
 
   /** Takes how an endpoint answered. */
-  recordAnswer(record: EndpointRecord, answer: DrivenAnswer): void {
+  recordAnswer(record: EndpointRecord, answer: AnswerOutcome): void {
     const state = this.states.get(record.entry.service);
     if (state === undefined) return;
     const side = state.getSide(record);
     if (side === 'other') return;
     const {instanceId} = record;
     const seen = {...answer, instanceId, isNew: side === 'new'};
-    if (state.addAnswer(seen)) this.handleAdvanced(state);
+    if (state.addAnswer(seen)) this.handlePhaseChange(state);
   }
 
   /** Whether the memory of a run may be copied from one to the other. */
@@ -145,7 +149,7 @@
   }
 
   /** Lists the new endpoints that can take requests. */
-  listNew(state: RolloutState): EndpointRecord[] {
+  listNewEndpoints(state: RolloutState): EndpointRecord[] {
     return this.listSide(state, 'new').filter((record) => record.isReady);
   }
 
@@ -159,7 +163,7 @@
   }
 
   /** Tells of a change that was made here, and opens what it opens. */
-  handleAdvanced(state: RolloutState): void {
+  handlePhaseChange(state: RolloutState): void {
     const {service, version} = state.order;
     const {phase, counts} = state;
     this.parts.log.writeInfo('A roll-out goes on.', {
--- a/packages/gateway/src/serving/send_holds.ts
+++ b/packages/gateway/src/serving/send_holds.ts
@@ -6,7 +6,7 @@
 import {formatRetryAfter} from './retry_after.js';
 import {isLimitHold, type SendGate, type SendHold} from './send_gate.js';
 import {createNotRun} from './send_rules.js';
-import {getRandomPart} from './serving_parts.js';
+import {getRandomFraction} from './serving_parts.js';
 
 /** What the holds work with. */
 export interface SendHoldsParts {
@@ -36,7 +36,7 @@
     }
     const end = endpoints.findFirstPauseEnd(service);
     if (end === undefined) return createNotRun('no_endpoint', service, random);
-    const part = getRandomPart(random);
+    const part = getRandomFraction(random);
     const returnMs = computePauseReturnMs(end, clock.getNow(), part);
     const seconds = formatRetryAfter(returnMs, random);
     return GATEWAY_ERRORS.create('endpoints_paused', {service}, seconds);
--- a/packages/gateway/src/serving/send_rules.ts
+++ b/packages/gateway/src/serving/send_rules.ts
@@ -18,7 +18,7 @@
  * Counts a send without an answer that can be used against its endpoint. One that
  * asked for a pause is overloaded; it has not failed.
  */
-export function recordLoss(
+export function recordEndpointFailure(
   endpoints: Pick<GatewayEndpoints, 'isPaused'>,
   endpoint: EndpointRecord,
   kind: keyof typeof FAILURE_WEIGHTS,
@@ -40,7 +40,7 @@
   now: number,
 ): number {
   const routeUntil = request.exchange.startedAt + route.timeoutMs;
-  return Math.floor(Math.min(request.callerUntil, routeUntil) - now);
+  return Math.floor(Math.min(request.callerDeadline, routeUntil) - now);
 }
 
 /** Creates the error for a request whose content ended its endpoints. */
--- a/packages/gateway/src/serving/serving_parts.ts
+++ b/packages/gateway/src/serving/serving_parts.ts
@@ -5,10 +5,10 @@
 import type {GatewayConfiguration} from '../services/configuration.js';
 import type {GatewayEndpoints} from '../services/gateway_endpoints.js';
 import type {CrashRecords} from './crash_records.js';
-import type {EngineCaller} from './engine_caller.js';
-import type {KeptPromptFinder} from './kept_prompts.js';
+import type {EngineClient} from './engine_client.js';
+import type {PromptCacheFinder} from './prompt_cache_finder.js';
 import type {LostRuns} from './lost_runs.js';
-import type {RepeatBudgets} from './repeat_budgets.js';
+import type {RetryBudgets} from './retry_budgets.js';
 import type {Rollouts} from './rollouts.js';
 import type {SendGate} from './send_gate.js';
 import type {ServingMetrics} from './serving_metrics.js';
@@ -21,14 +21,14 @@
   readonly random: Random;
   readonly log: Logger;
   readonly codec: HeaderCodec;
-  readonly copies: CopyCodec;
+  readonly copyCodec: CopyCodec;
   readonly client: EndpointClient;
-  readonly engines: EngineCaller;
+  readonly engineClient: EngineClient;
   readonly successors: SuccessorFinder;
-  readonly keptPrompts: KeptPromptFinder;
+  readonly promptCaches: PromptCacheFinder;
   readonly configuration: GatewayConfiguration;
   readonly endpoints: GatewayEndpoints;
-  readonly budgets: RepeatBudgets;
+  readonly retryBudgets: RetryBudgets;
   readonly rollouts: Rollouts;
   readonly crashes: CrashRecords;
   readonly runLeases: RunLeases;
@@ -41,6 +41,6 @@
 const RANDOM_STEPS = 1_000_000;
 
 /** Gives a random number from 0 up to 1. */
-export function getRandomPart(random: Random): number {
+export function getRandomFraction(random: Random): number {
   return random.getInt(RANDOM_STEPS) / RANDOM_STEPS;
 }
--- a/packages/gateway/src/serving/silence_watch.ts
+++ b/packages/gateway/src/serving/silence_detector.ts
@@ -14,13 +14,13 @@
 const MAX_UNANSWERED = 2;
 
 /** What a stream's route aims at, in ms. */
-export interface StreamAims {
+export interface StreamTargets {
   readonly targetGapMs?: number | undefined;
   readonly targetLatencyMs: number;
 }
 
 /** Watches one stream. */
-export class SilenceWatch {
+export class SilenceDetector {
   private timer: NodeJS.Timeout | undefined;
   private hasEvents = false;
   private eventAt = 0;
@@ -34,7 +34,7 @@
   constructor(
     private readonly endpoint: EndpointRecord,
     private readonly prober: EndpointProber,
-    private readonly aims: StreamAims,
+    private readonly aims: StreamTargets,
     private readonly clock: Clock,
     private readonly handleLost: (detail: string) => void,
   ) {}
--- a/packages/gateway/src/serving/stream_attempt.ts
+++ b/packages/gateway/src/serving/stream_attempt.ts
@@ -10,12 +10,12 @@
   EndpointSend,
 } from '../channels/endpoint_client.js';
 import type {HeaderLines, MemorySource} from '../model/request_terms.js';
-import {readPlainAnswer} from './answer_reading.js';
+import {readPlainAnswer} from './plain_answer_reader.js';
 import type {PlainAnswer} from './caller_exchange.js';
 import type {EndpointProber} from './endpoint_prober.js';
 import type {EndpointRecord} from './endpoint_record.js';
 import type {ServingParts} from './serving_parts.js';
-import {SilenceWatch, type StreamAims} from './silence_watch.js';
+import {SilenceDetector, type StreamTargets} from './silence_detector.js';
 
 /** Where and how an attempt runs. */
 export interface AttemptPlan {
@@ -58,14 +58,14 @@
 /** One attempt. */
 export class StreamAttempt {
   private readonly controller = new AbortController();
-  private readonly watch: SilenceWatch;
+  private readonly watch: SilenceDetector;
   private lostDetail: string | undefined;
 
   constructor(
     private readonly parts: ServingParts,
     prober: EndpointProber,
     private readonly plan: AttemptPlan,
-    aims: StreamAims,
+    aims: StreamTargets,
     private readonly listener: AttemptListener,
     private readonly stop: AbortSignal,
   ) {
@@ -74,7 +74,7 @@
     };
     const {endpoint} = plan;
     const {clock} = parts;
-    this.watch = new SilenceWatch(endpoint, prober, aims, clock, handleLost);
+    this.watch = new SilenceDetector(endpoint, prober, aims, clock, handleLost);
   }
 
   /** Ends the attempt as lost. */
@@ -87,7 +87,7 @@
   async run(send: AttemptSend): Promise<AttemptResult> {
     const signal = AbortSignal.any([this.stop, this.controller.signal]);
     this.watch.start();
-    const ignoreGone = this.plan.endpoint.watchGone((cause) => {
+    const ignoreGone = this.plan.endpoint.watchRemoval((cause) => {
       if (cause === 'restarted') this.end('its engine started anew');
     });
     try {
@@ -200,7 +200,7 @@
 }
 
 /** Whether the engine may have run what the attempt asked for. */
-export function hasPerhapsRun(result: AttemptResult): boolean {
+export function hasPossiblyRun(result: AttemptResult): boolean {
   if (result.kind === 'refused') return false;
   if (result.kind === 'lost' || result.kind === 'stopped') {
     return result.mayHaveRun;
--- a/packages/gateway/src/serving/stream_driver.ts
+++ b/packages/gateway/src/serving/stream_driver.ts
@@ -11,7 +11,7 @@
 import type {HeaderLines} from '../model/request_terms.js';
 import type {ServingRoute} from '../model/serving_configuration.js';
 import type {AdmittedRequest, PlainAnswer} from './caller_exchange.js';
-import {CopyKeeper} from './copy_keeper.js';
+import {KvCacheReplicator} from './kv_cache_replicator.js';
 import type {EndpointProber} from './endpoint_prober.js';
 import type {EndpointRecord, UseClaim} from './endpoint_record.js';
 import {admitAttempt} from './attempt_admission.js';
@@ -24,21 +24,21 @@
   createNotRun,
   createRefused,
   MAX_BUSY_WAIT_MS,
-  recordLoss,
+  recordEndpointFailure,
 } from './send_rules.js';
 import type {ServingParts} from './serving_parts.js';
 import {
   getAttemptDetail,
-  hasPerhapsRun,
+  hasPossiblyRun,
   StreamAttempt,
   type AttemptPlan,
   type AttemptResult,
 } from './stream_attempt.js';
 import {StreamEvidence} from './stream_evidence.js';
 import {StreamPlanner} from './stream_planner.js';
-import {StreamRepeats, type RepeatBar} from './stream_repeats.js';
+import {StreamRetries, type RetryDenial} from './stream_retries.js';
 import {StreamReport} from './stream_report.js';
-import {SuspectRun} from './suspect_run.js';
+import {SuspectRunAdmission} from './suspect_run.js';
 
 /** The longest wait for what became of an engine, in ms; it takes a few. */
 const MAX_END_WAIT_MS = 60;
@@ -51,17 +51,17 @@
   sends = 0;
   private readonly planner: StreamPlanner;
   private readonly progress: EventProgress;
-  private readonly repeats: StreamRepeats;
+  private readonly repeats: StreamRetries;
   private head: {status: number; lines: HeaderLines} | undefined;
   private isStarted = false;
   private readonly report: StreamReport;
   private last: PlainAnswer | undefined;
   private lossDetail = '';
-  private repeatBar: RepeatBar | undefined;
+  private repeatBar: RetryDenial | undefined;
   private readonly search: PlanSearch;
   private readonly holds: SendHolds;
   private readonly evidence: StreamEvidence;
-  private readonly suspect: SuspectRun;
+  private readonly suspect: SuspectRunAdmission;
 
   constructor(
     private readonly parts: ServingParts,
@@ -72,11 +72,11 @@
   ) {
     const {terms} = request;
     this.holds = new SendHolds(parts);
-    this.suspect = new SuspectRun(parts, request);
+    this.suspect = new SuspectRunAdmission(parts, request);
     this.planner = new StreamPlanner(parts, request, service);
     const {signal} = request.exchange;
     this.search = new PlanSearch(parts, this.planner, service, signal);
-    this.repeats = new StreamRepeats(parts, request, route, service);
+    this.repeats = new StreamRetries(parts, request, route, service);
     this.progress = new EventProgress(terms.lastEventId);
     const {startedAt} = request.exchange;
     this.report = new StreamReport(parts, request.requestId, startedAt);
@@ -90,7 +90,7 @@
     if (this.progress.lastEventId === undefined) {
       this.planner.setTrial(this.parts.rollouts.takeTrial(this.service));
     }
-    await this.planner.findKeptPrompt();
+    await this.planner.findCachedPrompt();
     try {
       return await this.runAttempts();
     } finally {
@@ -104,10 +104,10 @@
       if (barred !== undefined) return barred;
       const plan = await this.search.find(this.isStarted);
       const {exchange} = this.request;
-      if (exchange.hasLeft()) return 'left';
+      if (exchange.hasDisconnected()) return 'left';
       if (plan === undefined) return this.finishLost();
       const permit = await this.admit(plan);
-      if (exchange.hasLeft()) return 'left';
+      if (exchange.hasDisconnected()) return 'left';
       if (permit.kind === 'held') {
         this.holds.add(permit);
         this.planner.recordHold(plan);
@@ -116,10 +116,10 @@
         continue;
       }
       const result = await this.runAttempt(plan, permit);
-      if (exchange.hasLeft()) return 'left';
+      if (exchange.hasDisconnected()) return 'left';
       if (result.kind === 'ended') {
-        this.evidence.recordEnd(plan.endpoint);
-        this.parts.crashes.recordEndedWell(this.request.content);
+        this.evidence.recordCompletion(plan.endpoint);
+        this.parts.crashes.recordCompletion(this.request.content);
         if (!this.isStarted) this.startAnswer();
         exchange.endStream();
         return 'answered';
@@ -127,7 +127,7 @@
       this.record(plan, result);
       await this.checkEnd(plan, result);
       if (exchange.isExpired) return this.finishExpired();
-      this.repeatBar = this.repeats.findBar(result);
+      this.repeatBar = this.repeats.findRetryDenial(result);
       if (this.repeatBar !== undefined) return this.finishLost();
     }
   }
@@ -137,7 +137,7 @@
     const {exchange} = this.request;
     const mostMs = this.isStarted ? Infinity : MAX_BUSY_WAIT_MS;
     const admission = await this.suspect.admit(exchange.signal, mostMs);
-    if (exchange.hasLeft()) return 'left';
+    if (exchange.hasDisconnected()) return 'left';
     if (exchange.isExpired) return this.finishExpired();
     if (admission === 'admitted') return undefined;
     this.repeatBar = admission === 'busy' ? 'content_busy' : 'content_refused';
@@ -166,7 +166,7 @@
     this.search.end();
     this.sends++;
     const claim: UseClaim = {
-      running: this.planner.countClaimed(endpoint),
+      running: this.planner.countClaimedSlots(endpoint),
       unreadTokens:
         memorySource === undefined ? this.planner.countUnread(endpoint) : 0,
       expectedTokens,
@@ -179,7 +179,7 @@
     const attempt = this.createAttempt(plan, claim, keeper);
     const now = this.parts.clock.getNow();
     this.evidence.recordSend();
-    const keptTokens = this.planner.countKept(endpoint);
+    const keptTokens = this.planner.countCachedTokens(endpoint);
     this.report.recordSend(plan, this.progress.lastEventId, keptTokens);
     let isCopyNeeded = true;
     try {
@@ -198,9 +198,9 @@
       return result;
     } finally {
       keeper.stop(isCopyNeeded);
-      this.planner.setCopy(keeper.findCopy());
-      endpoint.dropClaim(claim);
-      backup?.dropClaim(backupClaim);
+      this.planner.setReplica(keeper.findReplica());
+      endpoint.releaseClaim(claim);
+      backup?.releaseClaim(backupClaim);
       this.parts.endpoints.peers.uses.publishChanged();
     }
   }
@@ -208,7 +208,7 @@
   private createAttempt(
     plan: AttemptPlan,
     claim: UseClaim,
-    keeper: CopyKeeper,
+    keeper: KvCacheReplicator,
   ): StreamAttempt {
     const attempt: StreamAttempt = new StreamAttempt(
       this.parts,
@@ -233,14 +233,14 @@
   /** The first events show that the prompt was read. */
   private markPromptRead(endpoint: EndpointRecord, claim: UseClaim): void {
     if (claim.unreadTokens === 0) return;
-    endpoint.markRead(claim);
+    endpoint.markPromptRead(claim);
     this.parts.endpoints.peers.uses.publishChanged();
   }
 
-  private createKeeper({endpoint, backup}: AttemptPlan): CopyKeeper {
+  private createKeeper({endpoint, backup}: AttemptPlan): KvCacheReplicator {
     const engineRequest = this.planner.createEngineRequest();
     const {requestId} = this.request;
-    return new CopyKeeper(
+    return new KvCacheReplicator(
       this.parts,
       requestId,
       endpoint,
@@ -261,7 +261,7 @@
     const isFirst = this.report.recordEvents(plan, lastEventId, nextId);
     if (isFirst) {
       plan.endpoint.recordSuccess(undefined);
-      this.evidence.recordFirst(plan.endpoint);
+      this.evidence.recordFirstEvent(plan.endpoint);
     }
     const {fresh, hasGap} = this.progress.accept(events);
     if (hasGap) attempt.end('events are missing');
@@ -270,7 +270,7 @@
     if (!this.isStarted) this.startAnswer();
     const bytes = fresh.length === 1 ? first : Buffer.concat(fresh);
     const hasRoom = exchange.writeStream(bytes);
-    return hasRoom ? undefined : exchange.waitForRoom();
+    return hasRoom ? undefined : exchange.waitForDrain();
   }
 
   private startAnswer(): void {
@@ -282,17 +282,17 @@
   private record(plan: AttemptPlan, result: AttemptResult): void {
     const {endpoint} = plan;
     if (result.kind === 'ended') return;
-    this.planner.recordEnd(endpoint, result.kind === 'lost');
+    this.planner.recordAttemptEnd(endpoint, result.kind === 'lost');
     this.progress.startAfterLoss();
     this.lossDetail = getAttemptDetail(result);
-    const hasRun = hasPerhapsRun(result);
+    const hasRun = hasPossiblyRun(result);
     this.repeats.record(result);
     if (result.kind === 'failed') {
       this.last = result.answer;
-      this.evidence.recordFailed(endpoint);
+      this.evidence.recordFailure(endpoint);
     }
     if (result.kind === 'stopped') return;
-    recordLoss(this.parts.endpoints, endpoint, result.kind);
+    recordEndpointFailure(this.parts.endpoints, endpoint, result.kind);
     if (!hasRun && result.kind === 'lost') {
       this.parts.endpoints.peers.uses.publishLoss(endpoint.instanceId);
     }
@@ -314,7 +314,7 @@
     const {requestId, content, exchange} = this.request;
     const {endpoint} = plan;
     const run = {requestId, content, endpoint};
-    const mostMs = this.planner.hasCopy ? 0 : MAX_END_WAIT_MS;
+    const mostMs = this.planner.hasReplica ? 0 : MAX_END_WAIT_MS;
     await lostRuns.record(run, mostMs, exchange.signal);
   }
 
--- a/packages/gateway/src/serving/stream_evidence.ts
+++ b/packages/gateway/src/serving/stream_evidence.ts
@@ -24,17 +24,17 @@
   }
 
   /** Takes the first event of the stream. */
-  recordFirst(endpoint: EndpointRecord): void {
+  recordFirstEvent(endpoint: EndpointRecord): void {
     this.record(endpoint, this.route, false, this.clock.getNow() - this.sentAt);
   }
 
   /** Takes it that the endpoint answered with a failure of its own. */
-  recordFailed(endpoint: EndpointRecord): void {
+  recordFailure(endpoint: EndpointRecord): void {
     this.record(endpoint, this.route, true, 0);
   }
 
   /** Takes the end; the pace is judged beside the time to the first event. */
-  recordEnd(endpoint: EndpointRecord): void {
+  recordCompletion(endpoint: EndpointRecord): void {
     const ms = this.report.getPaceMs();
     if (ms === undefined) return;
     this.record(endpoint, `${this.route} pace`, false, ms);
--- a/packages/gateway/src/serving/stream_planner.ts
+++ b/packages/gateway/src/serving/stream_planner.ts
@@ -13,9 +13,9 @@
 import {getSample} from '@irisdock/kernel';
 import type {RequestTerms} from '../model/request_terms.js';
 import type {AdmittedRequest} from './caller_exchange.js';
-import type {KeptCopy} from './copy_keeper.js';
+import type {KvCacheReplica} from './kv_cache_replicator.js';
 import type {EndpointRecord} from './endpoint_record.js';
-import {listLive} from './live_endpoints.js';
+import {listLiveEndpoints} from './live_endpoints.js';
 import type {ServingParts} from './serving_parts.js';
 import type {AttemptPlan} from './stream_attempt.js';
 
@@ -34,7 +34,7 @@
   private readonly avoidedDomains = new Set<string>();
   /** Engines whose limits held this stream back; they may let it through later. */
   private readonly held = new Set<string>();
-  private copy: KeptCopy | undefined;
+  private copy: KvCacheReplica | undefined;
   /** Engines whose load is known here; undefined when that is all of them. */
   private known: readonly EndpointRecord[] | undefined;
   private trial: readonly EndpointRecord[] | undefined;
@@ -52,7 +52,7 @@
   }
 
   /** Whether the memory of the attempt that ended is kept elsewhere. */
-  get hasCopy(): boolean {
+  get hasReplica(): boolean {
     return this.findHolder(this.copy) !== undefined;
   }
 
@@ -64,7 +64,7 @@
   }
 
   /** Takes it that an attempt ended early on an engine. */
-  recordEnd(endpoint: EndpointRecord, isLost: boolean): void {
+  recordAttemptEnd(endpoint: EndpointRecord, isLost: boolean): void {
     this.excluded.add(endpoint.instanceId);
     // Whole failure domains are lost at once.
     if (isLost) this.avoidedDomains.add(endpoint.failureDomain);
@@ -83,7 +83,7 @@
   }
 
   /** Takes where the memory of the attempt that ended is kept. */
-  setCopy(copy: KeptCopy | undefined): void {
+  setReplica(copy: KvCacheReplica | undefined): void {
     this.copy = copy;
   }
 
@@ -91,31 +91,33 @@
    * Looks for engines that keep the prompt of a caller that comes again; for
    * others there is nothing to find, and no time is spent.
    */
-  async findKeptPrompt(): Promise<void> {
+  async findCachedPrompt(): Promise<void> {
     const {lastEventId, promptParts} = this.terms;
     if (lastEventId === undefined) return;
-    const usable = listLive(this.parts, this.service);
-    const finder = this.parts.keptPrompts;
-    this.keptTokens = await finder.findKept(usable, promptParts);
+    const usable = listLiveEndpoints(this.parts, this.service);
+    const finder = this.parts.promptCaches;
+    this.keptTokens = await finder.findCachedTokens(usable, promptParts);
   }
 
   /**
    * Finds out what runs on some engines that are not at home in this host's
    * group, where its own are busy or gone, and on those that keep the prompt.
    */
-  async findFarEngines(): Promise<void> {
+  async pollRemoteEngines(): Promise<void> {
     this.known = undefined;
     if (this.findHolder(this.copy) !== undefined) return;
     const {endpoints, random} = this.parts;
     const {groups, questions} = endpoints.peers;
-    const usable = listLive(this.parts, this.service);
+    const usable = listLiveEndpoints(this.parts, this.service);
     const isHome = ({instanceId}: EndpointRecord): boolean =>
       groups.isHome(instanceId);
     const home = usable.filter(isHome);
     if (home.length === usable.length) return;
     const request = this.createEngineRequest();
     const others = usable.filter((engine) => this.isOpen(engine, isHome));
-    const keepers = others.filter((engine) => this.countKept(engine) > 0);
+    const keepers = others.filter(
+      (engine) => this.countCachedTokens(engine) > 0,
+    );
     const count = decideFarCount(home, request);
     const drawn = getSample(others, count, random);
     const asked = new Set([...drawn, ...keepers]);
@@ -128,7 +130,7 @@
     for (const {instanceId, failures, ...use} of await questions.poll(ids)) {
       const engine = endpoints.find(instanceId);
       if (engine?.isUsable !== true) continue;
-      engine.setHomeUse(use, failures);
+      engine.setHomeGroupUse(use, failures);
       known.push(engine);
     }
     this.known = known;
@@ -143,7 +145,7 @@
   choosePlan(): AttemptPlan | undefined {
     const trial = this.chooseTrial();
     if (trial !== undefined) return trial;
-    const usable = listLive(this.parts, this.service);
+    const usable = listLiveEndpoints(this.parts, this.service);
     const request = this.createEngineRequest();
     const {copy} = this;
     this.copy = undefined;
@@ -186,7 +188,7 @@
    * hosts: every one if engines ended under it again, so that no other stream is
    * placed beside it.
    */
-  countClaimed(endpoint: EndpointRecord): number {
+  countClaimedSlots(endpoint: EndpointRecord): number {
     const crashes = this.parts.crashes.countCrashes(this.content);
     return crashes >= ALONE_FROM ? endpoint.slots : 1;
   }
@@ -201,13 +203,16 @@
   }
 
   /** Gives the tokens of the prompt that an engine keeps. */
-  countKept(endpoint: EndpointRecord): number {
+  countCachedTokens(endpoint: EndpointRecord): number {
     return this.keptTokens.get(endpoint.instanceId) ?? 0;
   }
 
   /** Gives the tokens of the prompt that an engine has to read. */
   countUnread(endpoint: EndpointRecord): number {
-    return Math.max(0, this.terms.promptTokens - this.countKept(endpoint));
+    return Math.max(
+      0,
+      this.terms.promptTokens - this.countCachedTokens(endpoint),
+    );
   }
 
   /** Gives what the stream asks of an engine now. */
@@ -240,7 +245,9 @@
   }
 
   /** Finds the engine that keeps a copy, if it may get work. */
-  private findHolder(copy: KeptCopy | undefined): EndpointRecord | undefined {
+  private findHolder(
+    copy: KvCacheReplica | undefined,
+  ): EndpointRecord | undefined {
     if (copy?.holder.isUsable !== true) return undefined;
     if (this.isExcluded(copy.holder)) return undefined;
     const {instanceId} = copy.holder;
--- a/packages/gateway/src/serving/stream_repeats.ts
+++ b/packages/gateway/src/serving/stream_retries.ts
@@ -8,7 +8,7 @@
 import type {AdmittedRequest} from './caller_exchange.js';
 import {computeRemainingMs} from './send_rules.js';
 import type {ServingParts} from './serving_parts.js';
-import {hasPerhapsRun, type AttemptResult} from './stream_attempt.js';
+import {hasPossiblyRun, type AttemptResult} from './stream_attempt.js';
 
 /** Sends that certainly did not run may be repeated this often. */
 const MAX_NOT_RUN = 6;
@@ -16,7 +16,7 @@
 const MIN_ATTEMPT_MS = 200;
 
 /** Why a stream is not sent again. */
-export type RepeatBar =
+export type RetryDenial =
   | 'answered'
   | 'attempts_spent'
   | 'budget_spent'
@@ -28,7 +28,7 @@
   | 'time_spent';
 
 /** Counts the attempts of one stream. */
-export class StreamRepeats {
+export class StreamRetries {
   /** Attempts that ran or may have run. */
   runs = 0;
   /** Attempts that certainly did not run. */
@@ -53,12 +53,12 @@
 
   /** Takes an attempt that ended early. */
   record(result: AttemptResult): void {
-    if (hasPerhapsRun(result)) this.runs++;
+    if (hasPossiblyRun(result)) this.runs++;
     else this.notRun++;
   }
 
   /** Finds why there may be no attempt after one that ended like this. */
-  findBar(result: AttemptResult): RepeatBar | undefined {
+  findRetryDenial(result: AttemptResult): RetryDenial | undefined {
     const {route, request, parts} = this;
     if (!route.isResumable && this.mayHaveRun) return 'not_resumable';
     if (this.isRefused) return 'content_refused';
@@ -72,6 +72,8 @@
     if (computeRemainingMs(request, route, now) < MIN_ATTEMPT_MS) {
       return 'time_spent';
     }
-    return parts.budgets.takeRepeat(this.service) ? undefined : 'budget_spent';
+    return parts.retryBudgets.takeRetry(this.service)
+      ? undefined
+      : 'budget_spent';
   }
 }
--- a/packages/gateway/src/serving/successors.ts
+++ b/packages/gateway/src/serving/successors.ts
@@ -13,14 +13,14 @@
 import type {GatewayConfiguration} from '../services/configuration.js';
 import type {GatewayEndpoints} from '../services/gateway_endpoints.js';
 import type {EndpointRecord} from './endpoint_record.js';
-import type {EngineCaller} from './engine_caller.js';
+import type {EngineClient} from './engine_client.js';
 
 /** How long the new start may take to answer, in ms; it takes a few mostly. */
 const ANSWER_MS = 150;
 
 /** What the finder works with. */
 export interface SuccessorParts {
-  readonly engines: EngineCaller;
+  readonly engineClient: EngineClient;
   readonly codec: EngineReportCodec;
   readonly configuration: GatewayConfiguration;
   readonly endpoints: GatewayEndpoints;
@@ -37,7 +37,7 @@
    * @param endpointId The id that it gave.
    */
   async accept(old: EndpointRecord, endpointId: string): Promise<void> {
-    const {endpoints, engines, codec, log} = this.parts;
+    const {endpoints, engineClient: engines, codec, log} = this.parts;
     if (!endpoints.isStoreAway || endpoints.hasEndpoint(endpointId)) return;
     const {address, entry} = old;
     if (!this.isOnlyEngineService(entry.service)) return;
--- a/packages/gateway/src/serving/suspect_run.ts
+++ b/packages/gateway/src/serving/suspect_run.ts
@@ -5,7 +5,7 @@
  */
 import type {Clock, Logger} from '@irisdock/kernel';
 import type {CrashRecords} from './crash_records.js';
-import {REPORTS_MS, type LostRuns} from './lost_runs.js';
+import {REPORT_WAIT_MS, type LostRuns} from './lost_runs.js';
 
 /** A lease that is held. */
 export interface RunLease {
@@ -17,7 +17,7 @@
   readonly content: string;
   readonly signal: AbortSignal;
   /** The longest wait, in ms. */
-  readonly mostMs: number;
+  readonly maxWaitMs: number;
   /** Whether the content still needs a lease to run. */
   readonly isNeeded: () => boolean;
 }
@@ -41,7 +41,7 @@
 }
 
 /** Whether the next run may start. */
-export type RunAdmission =
+export type RunAdmissionResult =
   | 'admitted'
   /** Another run of the content is under way. */
   | 'busy'
@@ -58,7 +58,7 @@
 }
 
 /** The runs of one request. */
-export class SuspectRun {
+export class SuspectRunAdmission {
   private lease: RunLease | undefined;
 
   constructor(
@@ -74,7 +74,10 @@
    *
    * @param mostMs The longest wait for another run of the content.
    */
-  async admit(signal: AbortSignal, mostMs: number): Promise<RunAdmission> {
+  async admit(
+    signal: AbortSignal,
+    mostMs: number,
+  ): Promise<RunAdmissionResult> {
     const {crashes, lostRuns, clock} = this.parts;
     const {content} = this.request;
     if (!lostRuns.isSuspected(content)) return 'admitted';
@@ -83,7 +86,7 @@
     if (!isAcquired) return 'busy';
     if (!crashes.isRefused(content)) return 'admitted';
     // Reports of what else ran on the endpoints may still arrive.
-    await clock.wait(REPORTS_MS, signal);
+    await clock.wait(REPORT_WAIT_MS, signal);
     return crashes.isRefused(content) ? 'refused' : 'admitted';
   }
 
@@ -100,7 +103,7 @@
     const outcome = await runLeases.acquire({
       content,
       signal,
-      mostMs,
+      maxWaitMs: mostMs,
       isNeeded: () => {
         return lostRuns.isSuspected(content) && !crashes.isRefused(content);
       },
--- a/packages/gateway/tests/endpoint_end.test.ts
+++ b/packages/gateway/tests/endpoint_exit_check.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {RoarrLogger, SeededRandom} from '@irisdock/kernel';
-import {EndpointEndCheck} from '../src/serving/endpoint_end.js';
+import {EndpointExitCheck} from '../src/serving/endpoint_exit_check.js';
 import type {EndpointRecord} from '../src/serving/endpoint_record.js';
 import {SendPermit} from '../src/serving/send_gate.js';
 import {createEndpoint} from './fixtures/endpoints.js';
@@ -20,8 +20,8 @@
   crashed: readonly string[],
   seed: number,
   silent: readonly string[] = [],
-): EndpointEndCheck {
-  return new EndpointEndCheck({
+): EndpointExitCheck {
+  return new EndpointExitCheck({
     client: {
       admit: (target) => new SendPermit(target),
       send: ({permit}) =>
--- a/packages/gateway/tests/endpoint_record.test.ts
+++ b/packages/gateway/tests/endpoint_record.test.ts
@@ -71,11 +71,11 @@
   it('is told as gone once, to whoever watches and to whoever comes later', () => {
     const record = createEndpoint('e', () => 0);
     const heard: string[] = [];
-    record.watchGone((cause) => heard.push(`first ${cause}`));
-    const ignore = record.watchGone(() => heard.push('ignored'));
+    record.watchRemoval((cause) => heard.push(`first ${cause}`));
+    const ignore = record.watchRemoval(() => heard.push('ignored'));
     ignore();
-    record.markGone('restarted');
-    record.watchGone((cause) => heard.push(`later ${cause}`));
+    record.markRemoved('restarted');
+    record.watchRemoval((cause) => heard.push(`later ${cause}`));
     assert.deepEqual(heard, ['first restarted', 'later restarted']);
     assert.equal(record.isUsable, false);
   });
@@ -95,15 +95,15 @@
     naive.claims.push(added);
     record.addClaim(added);
   } else if (what === 'read' && claim !== undefined) {
-    record.markRead(claim);
+    record.markPromptRead(claim);
   } else if (what === 'drop' && claim !== undefined) {
     naive.claims.shift();
-    record.dropClaim(claim);
+    record.releaseClaim(claim);
   } else if (what === 'tell') {
     naive.told.set(host, {use: createUse(size), at: now});
-    record.setOthersUse(host, createUse(size));
+    record.setPeerUse(host, createUse(size));
   } else if (what === 'end') {
     naive.told.delete(host);
-    record.setOthersUse(host, undefined);
+    record.setPeerUse(host, undefined);
   }
 }
--- a/packages/gateway/tests/lost_runs.test.ts
+++ b/packages/gateway/tests/lost_runs.test.ts
@@ -29,7 +29,13 @@
   const crashes = new CrashRecords({ledger, clock, log});
   const metrics = new ServingMetrics(new Registry());
   const check = {check: () => Promise.resolve('ended' as const)};
-  const lostRuns = new LostRuns({check, crashes, metrics, clock, log});
+  const lostRuns = new LostRuns({
+    exitCheck: check,
+    crashes,
+    metrics,
+    clock,
+    log,
+  });
   return {clock, crashes, lostRuns};
 }
 
--- a/packages/gateway/tests/run_leases.test.ts
+++ b/packages/gateway/tests/run_leases.test.ts
@@ -57,7 +57,12 @@
     signal = new AbortController().signal,
   ): Promise<LeaseOutcome> {
     const isNeeded = (): boolean => true;
-    return client.acquire({content: CONTENT, signal, mostMs, isNeeded});
+    return client.acquire({
+      content: CONTENT,
+      signal,
+      maxWaitMs: mostMs,
+      isNeeded,
+    });
   }
 
   /** Runs the clock until a request for a lease has its outcome. */
--- a/scripts/check_soak.mjs
+++ b/scripts/check_soak.mjs
@@ -23,7 +23,7 @@
   ],
   [
     'an endpoint that leaves gets no work',
-    /return !this\.isGone && this\.entry\.state === "ready"/,
+    /return !this\.isRemoved && this\.entry\.state === "ready"/,
     'return true',
   ],
   [
--- a/scripts/crash_trials.mjs
+++ b/scripts/crash_trials.mjs
@@ -48,7 +48,7 @@
   ],
   [
     'crash: a lost failure domain is not held against what ran there',
-    `${GATEWAY}/serving/endpoint_end.js`,
+    `${GATEWAY}/serving/endpoint_exit_check.js`,
     "'ended-with-domain'",
     "'ended'",
     TEST,
@@ -65,7 +65,7 @@
   [
     'crash: a run to the end clears a content',
     `${GATEWAY}/serving/crash_records.js`,
-    'this.spreader?.publishCleared(content)',
+    'this.publisher?.publishCleared(content)',
     'void 0',
     TEST,
     'is served once it is run to its end',
