--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -31,7 +31,7 @@
 import {FRONT_SERVICE} from './services/front.js';
 import {HOST_PHASE_SERVICE} from './services/host_phase.js';
 import {HOST_IDENTITY_SERVICE, HOST_SETTINGS} from './services/identity.js';
-import {INTRODUCTION_SERVICE} from './services/introduction.js';
+import {PEER_DISCOVERY_SERVICE} from './services/peer_discovery.js';
 import {LIMITS_SERVICE} from './services/limits.js';
 import {METRICS_PAGE_SERVICE} from './services/metrics_page.js';
 import {PEER_TABLES_SERVICE} from './tables/peer_tables.js';
@@ -50,7 +50,7 @@
   HOST_PHASE_SERVICE,
   PEERS_SERVICE,
   PEER_TABLES_SERVICE,
-  INTRODUCTION_SERVICE,
+  PEER_DISCOVERY_SERVICE,
   METRICS_PAGE_SERVICE,
   ROLLOUTS_SERVICE,
   CRASHES_SERVICE,
--- a/packages/gateway/src/services/crash_pages.ts
+++ b/packages/gateway/src/services/crash_pages.ts
@@ -6,7 +6,7 @@
 import type {Clock, KnownError, Logger} from '@irisdock/kernel';
 import {GATEWAY_ERRORS} from '../errors.js';
 import type {CrashRecords} from '../serving/crash_records.js';
-import {sendJson} from './operator_answer.js';
+import {sendJson} from './json_response.js';
 
 const PATH = '/v1/crashes';
 /** Names who asks, for the log. */
--- a/packages/gateway/src/services/crash_notices.ts
+++ b/packages/gateway/src/services/crash_publisher.ts
@@ -4,7 +4,7 @@
  */
 import type {Crash} from '@irisdock/decisions';
 import type {PeerDatagram} from '../model/peer_message.js';
-import {LaterSteps} from './later_steps.js';
+import {DelayedTasks} from './delayed_tasks.js';
 
 /**
  * Crashes are gathered for so long, in ms: what ran on one endpoint is lost
@@ -17,9 +17,9 @@
 const MAX_PER_DATAGRAM = 16;
 
 /** Tells hosts. */
-export class CrashNotices {
+export class CrashPublisher {
   private gathered: Crash[] = [];
-  private readonly later = new LaterSteps();
+  private readonly later = new DelayedTasks();
 
   constructor(private readonly sendToAll: (datagram: PeerDatagram) => void) {}
 
--- a/packages/gateway/src/services/crash_row_index.ts
+++ b/packages/gateway/src/services/crash_row_index.ts
@@ -5,7 +5,7 @@
 /** A row that was written or taken out. */
 export interface CrashRow {
   readonly crash: Crash;
-  readonly isThere: boolean;
+  readonly isPresent: boolean;
 }
 
 /** Finds rows without a look at all of them. */
@@ -21,7 +21,7 @@
       const isThere = value !== undefined;
       if (isThere) this.add(crash.content, key);
       else this.delete(crash.content, key);
-      found.push({crash, isThere});
+      found.push({crash, isPresent: isThere});
     }
     return found;
   }
--- a/packages/gateway/src/services/crashes.ts
+++ b/packages/gateway/src/services/crashes.ts
@@ -8,7 +8,7 @@
 import * as z from 'zod';
 import {CrashRecords} from '../serving/crash_records.js';
 import {CrashRowIndex} from './crash_row_index.js';
-import {CrashNotices} from './crash_notices.js';
+import {CrashPublisher} from './crash_publisher.js';
 import {CrashStore} from './crash_store.js';
 import {HOST_IDENTITY} from './identity.js';
 import {PEERS} from './peers.js';
@@ -43,7 +43,7 @@
     const keepMs = settings.keepSeconds * 1000;
     const ledger = new CrashLedger({keepMs, maxContents: MAX_CONTENTS});
     const api = new CrashRecords({ledger, clock, log});
-    const notices = new CrashNotices((datagram) => {
+    const notices = new CrashPublisher((datagram) => {
       peers.sendToAll(datagram);
     });
     const index = new CrashRowIndex();
@@ -69,7 +69,7 @@
         kept.deleteCrashes(content);
       },
     };
-    peers.boards.crashes = api;
+    peers.handlers.crashes = api;
     applyRows(table.replica.listAll(), index, api);
     void table.news.observe((rows) => {
       applyRows(rows, index, api);
@@ -99,7 +99,7 @@
   index: CrashRowIndex,
   records: CrashRecords,
 ): void {
-  for (const {crash, isThere} of index.apply(rows)) {
+  for (const {crash, isPresent: isThere} of index.apply(rows)) {
     if (isThere) records.acceptCrashes([crash]);
     else records.dropCrash(crash);
   }
--- a/packages/gateway/src/services/peer_boards.ts
+++ b/packages/gateway/src/services/datagram_handlers.ts
@@ -22,35 +22,35 @@
 } from '../model/run_lease_datagram.js';
 
 /** Takes what other hosts tell of roll-outs. */
-export interface RolloutBoard {
+export interface RolloutDatagramHandler {
   acceptReport(datagram: RolloutReportDatagram): void;
   acceptPhase(datagram: RolloutPhaseDatagram): void;
 }
 
 /** Takes what other hosts tell of contents that end endpoints. */
-export interface CrashBoard {
+export interface CrashDatagramHandler {
   acceptCrashes(crashes: readonly Crash[]): void;
   acceptCleared(content: string): void;
 }
 
 /** Takes what other hosts tell and ask of limits that endpoints name. */
-export interface LimitBoard {
+export interface LimitDatagramHandler {
   /** Takes it that a beat has begun. */
-  startBeat(): void;
+  startHeartbeat(): void;
   acceptLimits(datagram: LimitsDatagram): void;
-  acceptAsk(datagram: PermitAskDatagram): void;
-  acceptAnswer(datagram: PermitAnswerDatagram): void;
+  acceptPermitRequest(datagram: PermitAskDatagram): void;
+  acceptPermitAnswer(datagram: PermitAnswerDatagram): void;
 }
 
 /** Takes what other hosts request and grant of leases on runs. */
-export interface LeaseBoard {
-  acceptLeaseAsk(datagram: LeaseAskDatagram): void;
+export interface LeaseDatagramHandler {
+  acceptLeaseRequest(datagram: LeaseAskDatagram): void;
   acceptLeaseAnswer(datagram: LeaseAnswerDatagram): void;
-  acceptLeaseEnd(datagram: LeaseEndDatagram): void;
+  acceptLeaseRelease(datagram: LeaseEndDatagram): void;
 }
 
 /** A datagram that goes to a board. */
-export type BoardDatagram =
+export type HandledDatagram =
   | ClearedDatagram
   | CrashesDatagram
   | GrantDatagram
@@ -58,14 +58,14 @@
   | RolloutReportDatagram;
 
 /** The boards; a datagram without one is dropped. */
-export class PeerBoards {
-  rollouts: RolloutBoard | undefined;
-  crashes: CrashBoard | undefined;
-  limits: LimitBoard | undefined;
-  leases: LeaseBoard | undefined;
+export class DatagramHandlers {
+  rollouts: RolloutDatagramHandler | undefined;
+  crashes: CrashDatagramHandler | undefined;
+  limits: LimitDatagramHandler | undefined;
+  leases: LeaseDatagramHandler | undefined;
 
   /** Passes a datagram to its board. */
-  accept(datagram: BoardDatagram): void {
+  accept(datagram: HandledDatagram): void {
     switch (datagram.kind) {
       case 'rollout-report':
         this.rollouts?.acceptReport(datagram);
@@ -83,19 +83,19 @@
         this.limits?.acceptLimits(datagram);
         return;
       case 'permit-ask':
-        this.limits?.acceptAsk(datagram);
+        this.limits?.acceptPermitRequest(datagram);
         return;
       case 'permit-answer':
-        this.limits?.acceptAnswer(datagram);
+        this.limits?.acceptPermitAnswer(datagram);
         return;
       case 'lease-ask':
-        this.leases?.acceptLeaseAsk(datagram);
+        this.leases?.acceptLeaseRequest(datagram);
         return;
       case 'lease-answer':
         this.leases?.acceptLeaseAnswer(datagram);
         return;
       case 'lease-end':
-        this.leases?.acceptLeaseEnd(datagram);
+        this.leases?.acceptLeaseRelease(datagram);
     }
   }
 }
--- a/packages/gateway/src/services/later_steps.ts
+++ b/packages/gateway/src/services/delayed_tasks.ts
@@ -1,5 +1,5 @@
 /** Steps that are done later, and not at all once they are given up. */
-export class LaterSteps {
+export class DelayedTasks {
   private readonly timers = new Set<NodeJS.Timeout>();
 
   /** Does a step after a while. */
--- a/packages/gateway/src/services/endpoint_uses.ts
+++ b/packages/gateway/src/services/endpoint_uses.ts
@@ -6,7 +6,7 @@
 import type {ToldUse} from '../model/peer_message.js';
 import type {EndpointUse} from '../serving/endpoint_record.js';
 import type {GatewayEndpoints} from './gateway_endpoints.js';
-import type {HostUses, UseBoard} from './use_notices.js';
+import type {HostUses, UseRegistry} from './use_publisher.js';
 
 /**
  * What it counts that an engine took no connection of another host, beside 1
@@ -15,7 +15,7 @@
 const TOLD_LOSS_WEIGHT = 0.5;
 
 /** What runs on endpoints. */
-export class EndpointUses implements UseBoard {
+export class EndpointUses implements UseRegistry {
   /** Instance ids that a host told of last, by the name of the host. */
   private readonly toldBy = new Map<string, readonly string[]>();
 
@@ -25,11 +25,11 @@
     return this.endpoints.version;
   }
 
-  listHoused(): readonly HousedEngine[] {
+  listEngines(): readonly HousedEngine[] {
     return [...this.endpoints.listAll()];
   }
 
-  listOwnUses(): HostUses {
+  listLocalUses(): HostUses {
     const uses: Record<string, EndpointUse> = {};
     for (const record of this.endpoints.listAll()) {
       const use = record.getOwnUse();
@@ -40,7 +40,7 @@
     return uses;
   }
 
-  findUseBut(instanceId: string, host: string): ToldUse | undefined {
+  findUseExcept(instanceId: string, host: string): ToldUse | undefined {
     const record = this.endpoints.find(instanceId);
     if (record?.isUsable !== true) return undefined;
     const use = record.getUseBut(host);
--- a/packages/gateway/src/services/endpoints.ts
+++ b/packages/gateway/src/services/endpoints.ts
@@ -35,8 +35,8 @@
         configuration.findService(service)?.engine?.memoryTokens ??
         UNKNOWN_MEMORY_TOKENS,
       findRow: (endpointId) => table.replica.find(endpointId),
-      isServiceNamed: (service) => configuration.hasService(service),
-      unreadable: new Counter({
+      isServiceConfigured: (service) => configuration.hasService(service),
+      unreadableEntries: new Counter({
         name: 'irisdock_gateway_unreadable_entries_total',
         help: 'Entries that named no endpoint, a count.',
         registers: [context.metrics],
@@ -45,7 +45,7 @@
       peers,
       pauses: new EndpointPauses(clock, log),
     });
-    peers.useBoard = new EndpointUses(api);
+    peers.useRegistry = new EndpointUses(api);
     api.applyRows(table.replica.listAll());
     void table.news.observe((rows) => {
       api.applyRows(rows);
--- a/packages/gateway/src/services/engine_groups.ts
+++ b/packages/gateway/src/services/engine_groups.ts
@@ -18,7 +18,7 @@
 export interface EngineList {
   /** Differs whenever the engines do. */
   readonly version: number;
-  listHoused(): readonly HousedEngine[];
+  listEngines(): readonly HousedEngine[];
 }
 
 interface Homes {
@@ -32,7 +32,7 @@
 /** Hosts of a group that get what is for all of it; one may be lost. */
 const RELAYS = 2;
 
-const NO_ENGINES: EngineList = {version: -1, listHoused: () => []};
+const NO_ENGINES: EngineList = {version: -1, listEngines: () => []};
 
 /** Groups of hosts and the engines that they are the home of. */
 export class EngineGroups {
@@ -98,7 +98,7 @@
     }
     const groups = createHostGroups(hosts);
     const group = groups.find(({names}) => names.includes(this.ownName));
-    const homes = createHomes(groups, this.engines.listHoused());
+    const homes = createHomes(groups, this.engines.listEngines());
     this.known = {recordsHash, version, groups, group, homes};
     return this.known;
   }
--- a/packages/gateway/src/services/gateway_endpoints.ts
+++ b/packages/gateway/src/services/gateway_endpoints.ts
@@ -14,7 +14,7 @@
 import {EndpointRecord, type GoneCause} from '../serving/endpoint_record.js';
 import {AddressIndex} from './address_index.js';
 import type {EndpointPauses} from './endpoint_pauses.js';
-import {LeavingStarts} from './leaving_starts.js';
+import {LeavingInstances} from './leaving_instances.js';
 import type {Peers} from './peer_hosts.js';
 
 /** What the endpoints need of the rest. */
@@ -24,11 +24,11 @@
   readonly log: Logger;
   readonly getMemoryTokens: (service: string) => number;
   /** Whether the configuration in force names a service. */
-  readonly isServiceNamed: (service: string) => boolean;
+  readonly isServiceConfigured: (service: string) => boolean;
   /** Finds the row of an endpoint in the table, by the endpoint's id. */
   readonly findRow: (endpointId: string) => ReplicaRow | undefined;
   /** Counts entries that cannot be read. */
-  readonly unreadable: Counter;
+  readonly unreadableEntries: Counter;
   /** For how long a vanished entry stays in use, in ms from now. */
   readonly getDepartureDelay: () => number;
   readonly peers: Peers;
@@ -57,7 +57,7 @@
   /** Starts whose entries the store has not listed. */
   private readonly unlisted = new Set<EndpointRecord>();
 
-  private readonly leavingStarts = new LeavingStarts();
+  private readonly leavingStarts = new LeavingInstances();
   private dropTimer: NodeJS.Timeout | undefined;
 
   constructor(private readonly parts: GatewayEndpointsParts) {}
@@ -224,7 +224,7 @@
     if (decoded.isErr()) {
       const fault = decoded.error;
       this.parts.log.writeWarning('An entry names no endpoint.', {key, fault});
-      this.parts.unreadable.inc();
+      this.parts.unreadableEntries.inc();
       if (known !== undefined) this.remove(known, 'its entry cannot be read');
       return;
     }
@@ -308,7 +308,7 @@
    * answers there refuses what is meant for the other.
    */
   private removeOthersAt(entry: EndpointEntry): void {
-    if (!this.parts.isServiceNamed(entry.service)) return;
+    if (!this.parts.isServiceConfigured(entry.service)) return;
     for (const record of this.addresses.list(entry.address)) {
       this.remove(record, 'a newer entry has its address');
     }
--- a/packages/gateway/src/services/host_pages.ts
+++ b/packages/gateway/src/services/host_pages.ts
@@ -2,7 +2,7 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Clock} from '@irisdock/kernel';
 import type {GatewayConfiguration} from './configuration.js';
-import {sendJson} from './operator_answer.js';
+import {sendJson} from './json_response.js';
 import type {Peers} from './peer_hosts.js';
 
 const PATH = '/v1/hosts';
@@ -25,7 +25,7 @@
   if (path !== PATH || message.method !== 'GET') return false;
   const now = clock.getNow();
   const ageMs = peers.standing.getConfigurationAgeMs(now);
-  const hosts = peers.listShown(now).map((host) => ({
+  const hosts = peers.listHostSummaries(now).map((host) => ({
     ...host,
     configuration: host.configuration ?? null,
     heardMs: undefined,
--- a/packages/gateway/src/services/shown_hosts.ts
+++ b/packages/gateway/src/services/host_summaries.ts
@@ -7,14 +7,14 @@
 import type {TableRevisions} from '../model/peer_message.js';
 
 /** What a host was last heard to have. */
-export interface HeardHost {
+export interface LastHeard {
   readonly revisions: TableRevisions;
   /** When it was heard, in ms. */
   readonly at: number;
 }
 
 /** One host. */
-export interface ShownHost {
+export interface HostSummary {
   readonly name: string;
   readonly failureDomain: string;
   readonly standing: HostStanding;
@@ -29,7 +29,9 @@
 }
 
 /** Orders the hosts: those with most faults first, then by name. */
-export function sortShownHosts(hosts: readonly ShownHost[]): ShownHost[] {
+export function sortHostSummaries(
+  hosts: readonly HostSummary[],
+): HostSummary[] {
   const newest = Math.max(0, ...hosts.map((host) => host.configuration ?? 0));
   return [...hosts].sort(
     (a, b) =>
@@ -38,7 +40,7 @@
   );
 }
 
-function countFaults(host: ShownHost, newest: number): number {
+function countFaults(host: HostSummary, newest: number): number {
   const faults = [
     host.standing !== 'alive',
     host.state !== 'ready',
--- a/packages/gateway/src/services/host_tracker.ts
+++ b/packages/gateway/src/services/host_tracker.ts
@@ -16,10 +16,14 @@
 import type {PeerTableSource} from '../tables/peer_table_source.js';
 import type {PeerPlace, WatchDatagram} from '../model/peer_message.js';
 import {PeerTableLoader} from '../tables/peer_table_loader.js';
-import {sortShownHosts, type HeardHost, type ShownHost} from './shown_hosts.js';
+import {
+  sortHostSummaries,
+  type LastHeard,
+  type HostSummary,
+} from './host_summaries.js';
 import {StoreStanding} from '../tables/store_standing.js';
 import type {Tables} from '../tables/tables.js';
-import type {SendToHosts} from './use_notices.js';
+import type {SendToHosts} from './use_publisher.js';
 
 /** Whether a host takes callers. */
 export type PeerState = HostRecord['state'];
@@ -37,7 +41,7 @@
   /** Where others reach this host. */
   readonly place: PeerPlace;
   /** The time between two beats, in ms. */
-  readonly beatMs: number;
+  readonly heartbeatMs: number;
   /** Whether other hosts may run that are not known yet. */
   readonly hasSeeds: boolean;
   readonly tables: Tables;
@@ -86,13 +90,20 @@
   private unlike = 0;
   private listAskedAt = -Infinity;
   /** What other hosts were last heard to have, by name. */
-  private readonly heard = new Map<string, HeardHost>();
+  private readonly heard = new Map<string, LastHeard>();
 
   constructor(
     private readonly parts: HostTrackerParts,
     private readonly send: SendToHosts,
   ) {
-    const {name, incarnation, place, beatMs, clock, random} = parts;
+    const {
+      name,
+      incarnation,
+      place,
+      heartbeatMs: beatMs,
+      clock,
+      random,
+    } = parts;
     const {tables, tableSource, log} = parts;
     const record: HostRecord = {
       name,
@@ -140,14 +151,14 @@
   }
 
   /** Lists all hosts that are not forgotten, those with faults first. */
-  listShown(now: number): ShownHost[] {
+  listHostSummaries(now: number): HostSummary[] {
     const {view, standing, loader} = this;
     const readers = standing.listReaders();
     const show = (
       record: HostRecord,
-      about: Pick<ShownHost, 'failureDomain' | 'standing'>,
-      heard: HeardHost | undefined,
-    ): ShownHost => {
+      about: Pick<HostSummary, 'failureDomain' | 'standing'>,
+      heard: LastHeard | undefined,
+    ): HostSummary => {
       const {name, state, isStoreAway} = record;
       const place = readers.indexOf(name);
       return {
@@ -169,11 +180,11 @@
       const about = {failureDomain: place.failureDomain, standing: believed};
       hosts.push(show(record, about, this.heard.get(record.name)));
     }
-    return sortShownHosts(hosts);
+    return sortHostSummaries(hosts);
   }
 
   /** Does what is due in a beat. */
-  startBeat(now: number): void {
+  startHeartbeat(now: number): void {
     this.updateOwn(now);
     this.standing.updateReading(this.isAlone);
     this.sendWatch(this.watch.startBeat(now), now);
--- a/packages/gateway/src/services/leaving_starts.ts
+++ b/packages/gateway/src/services/leaving_instances.ts
@@ -7,7 +7,7 @@
 const MAX_STARTS = 20_000;
 
 /** A bounded set of instance ids. */
-export class LeavingStarts {
+export class LeavingInstances {
   private readonly instanceIds = new Set<string>();
 
   add(instanceId: string): void {
--- a/packages/gateway/src/services/limit_pages.ts
+++ b/packages/gateway/src/services/limit_pages.ts
@@ -2,7 +2,7 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Clock} from '@irisdock/kernel';
 import type {GatewayEndpoints} from './gateway_endpoints.js';
-import {sendJson} from './operator_answer.js';
+import {sendJson} from './json_response.js';
 import type {SendLimits} from './send_limits.js';
 
 const PATH = '/v1/limits';
--- a/packages/gateway/src/services/limit_notices.ts
+++ b/packages/gateway/src/services/limit_publisher.ts
@@ -4,7 +4,7 @@
  * change is told to all once, however many hosts see it.
  */
 import type {LimitsDatagram, ToldLimit} from '../model/limit_datagram.js';
-import {LaterSteps} from './later_steps.js';
+import {DelayedTasks} from './delayed_tasks.js';
 
 /**
  * Changes are gathered for so long, in ms; several endpoints of a service may come
@@ -17,21 +17,21 @@
 const MAX_PER_DATAGRAM = 24;
 
 /** What the notices work with. */
-export interface LimitNoticesParts {
+export interface LimitPublisherParts {
   readonly ownName: string;
   readonly findIssuer: (instanceId: string) => string | undefined;
   /** Gives what is believed of an endpoint now. */
-  readonly createTold: (instanceId: string) => ToldLimit;
+  readonly createLimitSummary: (instanceId: string) => ToldLimit;
   readonly sendToAll: (datagram: LimitsDatagram) => void;
   readonly sendTo: (host: string, datagram: LimitsDatagram) => void;
 }
 
 /** The notices. */
-export class LimitNotices {
+export class LimitPublisher {
   private gathered = new Set<string>();
-  private readonly later = new LaterSteps();
+  private readonly later = new DelayedTasks();
 
-  constructor(private readonly parts: LimitNoticesParts) {}
+  constructor(private readonly parts: LimitPublisherParts) {}
 
   /** Tells of an endpoint's limit, as it is believed when the notice goes out. */
   publish(instanceId: string): void {
@@ -52,7 +52,7 @@
   }
 
   private sendAll(instanceIds: readonly string[]): void {
-    const {ownName, findIssuer, createTold} = this.parts;
+    const {ownName, findIssuer, createLimitSummary: createTold} = this.parts;
     const forAll: ToldLimit[] = [];
     for (const instanceId of instanceIds) {
       const issuer = findIssuer(instanceId);
--- a/packages/gateway/src/services/limits.ts
+++ b/packages/gateway/src/services/limits.ts
@@ -29,7 +29,7 @@
       clock,
       log,
     });
-    peers.boards.limits = api;
+    peers.handlers.limits = api;
     createGauges(api, metrics);
     return {
       api,
@@ -47,7 +47,7 @@
     help: 'Endpoints that name a limit on their requests, a count.',
     registers: [registry],
     collect() {
-      this.set(limits.beliefs.count);
+      this.set(limits.known.count);
     },
   });
   new Gauge({
--- a/packages/gateway/src/services/introduction.ts
+++ b/packages/gateway/src/services/peer_discovery.ts
@@ -34,7 +34,7 @@
 const ROW_SCHEMA = z.object({tables: z.string()});
 
 /** Introduces one host. */
-class Introduction {
+class PeerDiscovery {
   private readonly startedAt: number;
   private isWritten = false;
   private readAt = -Infinity;
@@ -112,15 +112,15 @@
 }
 
 /** The key of the service. */
-export const INTRODUCTION = createServiceKey<undefined>('introduction');
+export const PEER_DISCOVERY = createServiceKey<undefined>('introduction');
 
 /** Declares the service. */
-export const INTRODUCTION_SERVICE = createService({
-  key: INTRODUCTION,
+export const PEER_DISCOVERY_SERVICE = createService({
+  key: PEER_DISCOVERY,
   settings: z.object({}),
   needs: [HOST_IDENTITY, PEERS, STORE, TABLES_KEY],
   create(context) {
-    const introduction = new Introduction(
+    const introduction = new PeerDiscovery(
       context.find(STORE),
       context.find(PEERS),
       context.find(HOST_IDENTITY).name,
--- a/packages/gateway/src/services/peer_hosts.ts
+++ b/packages/gateway/src/services/peer_hosts.ts
@@ -21,13 +21,17 @@
   type HostTrackerParts,
   type PeerState,
 } from './host_tracker.js';
-import {PeerBoards} from './peer_boards.js';
+import {DatagramHandlers} from './datagram_handlers.js';
 import {NewsSpreader} from '../tables/news_spreader.js';
-import type {ShownHost} from './shown_hosts.js';
-import {SeedTries} from './seed_tries.js';
+import type {HostSummary} from './host_summaries.js';
+import {SeedSchedule} from './seed_schedule.js';
 import type {StoreStanding} from '../tables/store_standing.js';
-import {UseNotices, type SendToHosts, type UseBoard} from './use_notices.js';
-import {UseQuestions} from './use_questions.js';
+import {
+  UsePublisher,
+  type SendToHosts,
+  type UseRegistry,
+} from './use_publisher.js';
+import {UseQueries} from './use_queries.js';
 
 /** What the peers need of the rest. */
 export interface PeersParts extends Omit<HostTrackerParts, 'hasSeeds'> {
@@ -53,15 +57,15 @@
 
 /** The other hosts. */
 export class Peers {
-  readonly uses: UseNotices;
-  readonly questions: UseQuestions;
+  readonly usePublisher: UsePublisher;
+  readonly useQueries: UseQueries;
   readonly groups: EngineGroups;
   /** Who takes what other hosts say of roll-outs, crashes, limits and leases. */
-  readonly boards = new PeerBoards();
+  readonly handlers = new DatagramHandlers();
   private readonly tracker: HostTracker;
   private readonly socket: DatagramPort;
   private readonly news: NewsSpreader;
-  private readonly seeds: SeedTries;
+  private readonly seeds: SeedSchedule;
   private readonly checks: CopyChecks;
 
   constructor(private readonly parts: PeersParts) {
@@ -92,8 +96,8 @@
         this.news.publish(table, shown, false);
       },
     });
-    this.uses = new UseNotices(parts, view, this.groups, send);
-    this.questions = new UseQuestions(
+    this.usePublisher = new UsePublisher(parts, view, this.groups, send);
+    this.useQueries = new UseQueries(
       name,
       view,
       this.groups,
@@ -101,7 +105,7 @@
       random,
       send,
     );
-    this.seeds = new SeedTries(random, parts.seeds);
+    this.seeds = new SeedSchedule(random, parts.seeds);
     this.socket = new FramedPort(parts, (payload) => {
       this.handleDatagram(payload);
     });
@@ -113,9 +117,9 @@
   }
 
   /** Sets who knows what runs here. */
-  set useBoard(board: UseBoard) {
-    this.uses.board = board;
-    this.questions.board = board;
+  set useRegistry(board: UseRegistry) {
+    this.usePublisher.registry = board;
+    this.useQueries.registry = board;
     this.groups.engines = board;
   }
 
@@ -165,22 +169,22 @@
   }
 
   /** Lists all hosts for operators, those with faults first. */
-  listShown(now: number): ShownHost[] {
-    return this.tracker.listShown(now);
+  listHostSummaries(now: number): HostSummary[] {
+    return this.tracker.listHostSummaries(now);
   }
 
   /** Lists the names of the hosts that take or took requests, this one too. */
-  listTakingNames(): string[] {
+  listActiveNames(): string[] {
     return this.listNames((state) => state !== 'starting');
   }
 
   /** Lists the names of the hosts that take callers and stay, this one too. */
-  listStayingNames(): string[] {
+  listReadyNames(): string[] {
     return this.listNames((state) => state === 'ready');
   }
 
   /** Counts the hosts that may live and stay, also those not heard of late. */
-  countMayLive(): number {
+  countPossiblyAlive(): number {
     let count = 1;
     for (const {record} of this.tracker.view.listKnown()) {
       if (record.state !== 'leaving') count++;
@@ -231,10 +235,10 @@
   }
 
   /** Does what is due in a beat. */
-  sendBeat(): void {
-    this.tracker.startBeat(this.parts.clock.getNow());
-    this.uses.startBeat();
-    this.boards.limits?.startBeat();
+  runHeartbeat(): void {
+    this.tracker.startHeartbeat(this.parts.clock.getNow());
+    this.usePublisher.startHeartbeat();
+    this.handlers.limits?.startHeartbeat();
     const known = this.listAlive().map(({place}) => place.tables);
     const seed = this.seeds.chooseNext(known);
     if (seed !== undefined) void this.tracker.loader.loadAll(seed);
@@ -247,7 +251,7 @@
 
   close(): void {
     this.checks.close();
-    this.uses.close();
+    this.usePublisher.close();
     this.news.close();
     this.socket.close();
     this.tracker.close();
@@ -303,19 +307,19 @@
         this.news.accept(datagram);
         return;
       case 'uses':
-        this.uses.accept(datagram);
+        this.usePublisher.accept(datagram);
         return;
       case 'loss':
-        this.uses.acceptLoss(datagram);
+        this.usePublisher.acceptLoss(datagram);
         return;
       case 'question':
-        this.questions.acceptQuestion(datagram);
+        this.useQueries.acceptQuery(datagram);
         return;
       case 'answer':
-        this.questions.acceptAnswer(datagram);
+        this.useQueries.acceptAnswer(datagram);
         return;
       default:
-        this.boards.accept(datagram);
+        this.handlers.accept(datagram);
     }
   }
 }
--- a/packages/gateway/src/services/peer_questions.ts
+++ b/packages/gateway/src/services/peer_requests.ts
@@ -20,7 +20,7 @@
 }
 
 /** Sends requests and matches answers. */
-export class PeerQuestions<Ask extends Numbered, Answer extends Numbered> {
+export class PeerRequests<Ask extends Numbered, Answer extends Numbered> {
   private number = 0;
   private readonly open = new Map<number, (answer: Answer) => void>();
 
--- a/packages/gateway/src/services/peers.ts
+++ b/packages/gateway/src/services/peers.ts
@@ -98,7 +98,7 @@
         callers: settings.callerAddress,
       },
       listen: settings.listen,
-      beatMs: settings.beatMs,
+      heartbeatMs: settings.beatMs,
       incarnation,
       seeds: settings.seeds,
       openDatagrams: (handle) => new DatagramSocket(handle),
@@ -123,9 +123,9 @@
       },
       async start() {
         await api.start();
-        api.sendBeat();
+        api.runHeartbeat();
         timer = setInterval(() => {
-          api.sendBeat();
+          api.runHeartbeat();
         }, settings.beatMs);
       },
       stop() {
--- a/packages/gateway/src/services/permit_grants.ts
+++ b/packages/gateway/src/services/permit_grants.ts
@@ -17,7 +17,7 @@
 import type {KnownLimits} from './known_limits.js';
 
 /** A question without what only other hosts need to know. */
-export type PermitAsk = Omit<PermitAskDatagram, 'kind' | 'limit'>;
+export type PermitRequest = Omit<PermitAskDatagram, 'kind' | 'limit'>;
 
 interface GivenAnswer {
   readonly incarnation: number;
@@ -50,7 +50,7 @@
   ) {}
 
   /** Answers a question; the same one again gets the same answer. */
-  decide(instanceId: string, ask: PermitAsk): PermitAnswerDatagram {
+  decide(instanceId: string, ask: PermitRequest): PermitAnswerDatagram {
     const now = this.clock.getNow();
     const perSecond = this.beliefs.findRate(instanceId);
     if (perSecond === undefined) {
@@ -84,7 +84,7 @@
   }
 
   /** Gives what is believed here of an endpoint's limit. */
-  createTold(instanceId: string): ToldLimit {
+  createLimitSummary(instanceId: string): ToldLimit {
     const report = this.beliefs.findReport(instanceId);
     const now = this.clock.getNow();
     const ageMs = report === undefined ? 0 : Math.max(0, now - report.at);
@@ -98,7 +98,7 @@
 
   private createAnswer(
     instanceId: string,
-    {number}: PermitAsk,
+    {number}: PermitRequest,
     isIssuer: boolean,
   ): PermitAnswerDatagram {
     return {
@@ -109,7 +109,7 @@
       waitMs: NOT_ISSUER_WAIT_MS,
       pauseMs: NOT_ISSUER_WAIT_MS,
       lastReturnMs: 0,
-      limit: this.createTold(instanceId),
+      limit: this.createLimitSummary(instanceId),
     };
   }
 
--- a/packages/gateway/src/services/permit_queue.ts
+++ b/packages/gateway/src/services/permit_queue.ts
@@ -28,7 +28,7 @@
     };
 
 /** What a queue asks. */
-export interface QueueQuestion {
+export interface QueueRequest {
   readonly wanted: SendCounts;
   readonly refused: number;
   /** Which of the issuers is asked, where there are several. */
@@ -41,7 +41,7 @@
   /** Which issuer this host asks first; others begin with others. */
   readonly firstTurn: number;
   /** Asks the issuer. */
-  readonly poll: (question: QueueQuestion) => Promise<PermitReply>;
+  readonly poll: (question: QueueRequest) => Promise<PermitReply>;
   /** The limit, in requests a second; undefined without one. */
   readonly findRate: () => number | undefined;
   readonly findIssuer: (turn: number) => string | undefined;
@@ -85,7 +85,7 @@
   }
 
   /** Gives when one more caller may come back, in ms from now. */
-  computeReturnMs(perSecond: number): number {
+  computeRetryMs(perSecond: number): number {
     const now = this.parts.clock.getNow();
     const lastMs = Math.max(0, this.lastReturnAt - now);
     const afterMs = ((this.refused + 1) * MILLI) / perSecond;
@@ -98,7 +98,7 @@
   }
 
   /** Takes the turn to try the endpoint; there is one in a while. */
-  takeTurn(everyMs: number): boolean {
+  takeProbe(everyMs: number): boolean {
     const now = this.parts.clock.getNow();
     if (now < this.turnAt) return false;
     this.turnAt = now + everyMs;
@@ -106,7 +106,7 @@
   }
 
   /** Takes it that a caller was told to come back here. */
-  addReturn(): void {
+  addRetry(): void {
     this.refused++;
   }
 
--- a/packages/gateway/src/services/rollout_decider.ts
+++ b/packages/gateway/src/services/rollout_decider.ts
@@ -46,7 +46,7 @@
   constructor(private readonly parts: RolloutDeciderParts) {}
 
   /** Forgets which statuses are written: the store may have lost them. */
-  markLost(): void {
+  dropStatuses(): void {
     this.written.clear();
   }
 
--- a/packages/gateway/src/services/rollout_runner.ts
+++ b/packages/gateway/src/services/rollout_runner.ts
@@ -63,7 +63,7 @@
 
   /** Writes the status of ended roll-outs again after a restore. */
   handleRestored(): void {
-    this.parts.decider.markLost();
+    this.parts.decider.dropStatuses();
     this.overAt.clear();
     this.start();
   }
--- a/packages/gateway/src/services/rollouts.ts
+++ b/packages/gateway/src/services/rollouts.ts
@@ -64,7 +64,7 @@
       codec,
       clock,
       log,
-      listHosts: () => peers.listTakingNames(),
+      listHosts: () => peers.listActiveNames(),
       publishPhase: (state) => {
         runner.publishPhase(state);
       },
@@ -78,7 +78,7 @@
       clock,
       log,
     });
-    peers.boards.rollouts = runner;
+    peers.handlers.rollouts = runner;
     endpoints.handleChange = () => {
       api.updateEndpoints();
     };
--- a/packages/gateway/src/services/run_lease_client.ts
+++ b/packages/gateway/src/services/run_lease_client.ts
@@ -15,9 +15,9 @@
   RunLeases,
 } from '../serving/suspect_run.js';
 import type {HostIdentity} from './identity.js';
-import type {LeaseBoard} from './peer_boards.js';
+import type {LeaseDatagramHandler} from './datagram_handlers.js';
 import type {Peers} from './peer_hosts.js';
-import {PeerQuestions} from './peer_questions.js';
+import {PeerRequests} from './peer_requests.js';
 import type {RunLeaseIssuer} from './run_lease_issuer.js';
 
 /** The time between two renewals, in ms; two may be lost. */
@@ -39,8 +39,8 @@
 }
 
 /** Acquires leases. */
-export class RunLeaseClient implements RunLeases, LeaseBoard {
-  private readonly questions: PeerQuestions<
+export class RunLeaseClient implements RunLeases, LeaseDatagramHandler {
+  private readonly questions: PeerRequests<
     LeaseAskDatagram,
     LeaseAnswerDatagram
   >;
@@ -48,7 +48,7 @@
 
   constructor(private readonly parts: RunLeaseClientParts) {
     const {clock, peers} = parts;
-    this.questions = new PeerQuestions(clock, (to, ask) => {
+    this.questions = new PeerRequests(clock, (to, ask) => {
       peers.sendToNames([to], ask);
     });
   }
@@ -87,7 +87,7 @@
     this.parts.issuer.dropExpired();
   }
 
-  acceptLeaseAsk(ask: LeaseAskDatagram): void {
+  acceptLeaseRequest(ask: LeaseAskDatagram): void {
     const answer = this.parts.issuer.decide(ask);
     this.parts.peers.sendToNames([ask.name], answer);
   }
@@ -96,7 +96,7 @@
     this.questions.accept(answer);
   }
 
-  acceptLeaseEnd(end: LeaseEndDatagram): void {
+  acceptLeaseRelease(end: LeaseEndDatagram): void {
     this.parts.issuer.release(end);
   }
 
--- a/packages/gateway/src/services/run_lease_issuer.ts
+++ b/packages/gateway/src/services/run_lease_issuer.ts
@@ -16,7 +16,7 @@
 /** Dependencies of the issuer. */
 export interface RunLeaseIssuerParts {
   readonly ownName: string;
-  readonly peers: Pick<Peers, 'listStayingNames' | 'recordsHash'>;
+  readonly peers: Pick<Peers, 'listReadyNames' | 'recordsHash'>;
   readonly crashes: Pick<CrashRecords, 'listCrashes'>;
   readonly clock: Clock;
 }
@@ -78,7 +78,7 @@
     const {peers, ownName, clock} = this.parts;
     if (peers.recordsHash === this.recordsHash) return;
     this.recordsHash = peers.recordsHash;
-    const names = peers.listStayingNames().sort();
+    const names = peers.listReadyNames().sort();
     if (names.join() === this.names.join()) return;
     const now = clock.getNow();
     const before = this.names.length === 0 ? [ownName] : this.names;
--- a/packages/gateway/src/services/run_leases.ts
+++ b/packages/gateway/src/services/run_leases.ts
@@ -29,7 +29,7 @@
     const ownName = identity.name;
     const issuer = new RunLeaseIssuer({ownName, peers, crashes, clock});
     const api = new RunLeaseClient({identity, peers, issuer, clock});
-    peers.boards.leases = api;
+    peers.handlers.leases = api;
     const timer = setInterval(() => {
       api.dropExpired();
     }, SWEEP_MS);
--- a/packages/gateway/src/services/seed_tries.ts
+++ b/packages/gateway/src/services/seed_schedule.ts
@@ -12,7 +12,7 @@
 const MAX_PAUSE = 80;
 
 /** The tries. */
-export class SeedTries {
+export class SeedSchedule {
   private beat = 0;
   /** The beat at which a seed is tried next. */
   private nextBeat = 1;
--- a/packages/gateway/src/services/send_limits.ts
+++ b/packages/gateway/src/services/send_limits.ts
@@ -31,14 +31,14 @@
   type KnownLimit,
   type ReportOutcome,
 } from './known_limits.js';
-import {LimitNotices} from './limit_notices.js';
-import type {LimitBoard} from './peer_boards.js';
+import {LimitPublisher} from './limit_publisher.js';
+import type {LimitDatagramHandler} from './datagram_handlers.js';
 import type {Peers} from './peer_hosts.js';
-import {PeerQuestions} from './peer_questions.js';
+import {PeerRequests} from './peer_requests.js';
 import {PermitGrants} from './permit_grants.js';
 import {
   PermitQueue,
-  type QueueQuestion,
+  type QueueRequest,
   type PermitReply,
 } from './permit_queue.js';
 
@@ -47,8 +47,8 @@
   readonly identity: HostIdentity;
   readonly peers: Pick<
     Peers,
-    | 'countMayLive'
-    | 'listStayingNames'
+    | 'countPossiblyAlive'
+    | 'listReadyNames'
     | 'recordsHash'
     | 'sendToAll'
     | 'sendToNames'
@@ -59,7 +59,7 @@
 }
 
 /** A limit as operators are shown it. */
-export interface ShownLimit extends KnownLimit {
+export interface LimitStatus extends KnownLimit {
   readonly issuer: string | undefined;
   /** Sends of this host that were let through and held back since it began. */
   readonly given: number;
@@ -79,15 +79,15 @@
 const ENDED_KEPT_MS = 60_000;
 
 /** The limits. */
-export class SendLimits implements LimitBoard, SendGate {
-  readonly beliefs: KnownLimits;
+export class SendLimits implements LimitDatagramHandler, SendGate {
+  readonly known: KnownLimits;
   private readonly issuers: PermitIssuers;
   private readonly grants: PermitGrants;
-  private readonly questions: PeerQuestions<
+  private readonly questions: PeerRequests<
     PermitAskDatagram,
     PermitAnswerDatagram
   >;
-  private readonly notices: LimitNotices;
+  private readonly notices: LimitPublisher;
   private readonly queues = new Map<string, PermitQueue>();
   private recordsHash: number | undefined;
   private mayLive = 0;
@@ -96,16 +96,17 @@
 
   constructor(private readonly parts: SendLimitsParts) {
     const {identity, peers, clock, log} = parts;
-    this.beliefs = new KnownLimits(clock, log);
+    this.known = new KnownLimits(clock, log);
     this.issuers = new PermitIssuers(identity.name, clock.getNow());
-    this.grants = new PermitGrants(this.issuers, this.beliefs, clock);
-    this.questions = new PeerQuestions(clock, (to, ask) => {
+    this.grants = new PermitGrants(this.issuers, this.known, clock);
+    this.questions = new PeerRequests(clock, (to, ask) => {
       peers.sendToNames([to], ask);
     });
-    this.notices = new LimitNotices({
+    this.notices = new LimitPublisher({
       ownName: identity.name,
       findIssuer: (instanceId) => this.findFirstIssuer(instanceId),
-      createTold: (instanceId) => this.grants.createTold(instanceId),
+      createLimitSummary: (instanceId) =>
+        this.grants.createLimitSummary(instanceId),
       sendToAll: (datagram) => {
         peers.sendToAll(datagram);
       },
@@ -116,8 +117,8 @@
   }
 
   /** Lists the limits in force, as this host knows and keeps them. */
-  listLimits(): ShownLimit[] {
-    return this.beliefs.listLimits().map((limit) => {
+  listLimits(): LimitStatus[] {
+    return this.known.listLimits().map((limit) => {
       const {instanceId} = limit;
       const queue = this.queues.get(instanceId);
       return {
@@ -133,7 +134,7 @@
     target: SendTarget,
     use: SendUse,
   ): Promise<SendAdmission> | SendAdmission {
-    const perSecond = this.beliefs.findRate(target.instanceId);
+    const perSecond = this.known.findRate(target.instanceId);
     if (perSecond === undefined) return new SendPermit(target);
     return this.getQueue(target.instanceId).wait(target, use);
   }
@@ -144,13 +145,13 @@
    * that it has free is used for that.
    */
   takeUnconfirmed<T extends SendTarget>(targets: Iterable<T>): T | undefined {
-    if (this.beliefs.count === 0) return undefined;
+    if (this.known.count === 0) return undefined;
     const now = this.parts.clock.getNow();
     for (const target of targets) {
-      const report = this.beliefs.findReport(target.instanceId);
+      const report = this.known.findReport(target.instanceId);
       if (report?.perSecond === undefined) continue;
       if (now - report.at < CONFIRM_MS) continue;
-      if (this.getQueue(target.instanceId).takeTurn(CONFIRM_MS)) return target;
+      if (this.getQueue(target.instanceId).takeProbe(CONFIRM_MS)) return target;
     }
     return undefined;
   }
@@ -160,8 +161,8 @@
     if (limit === undefined && !isTelling) return;
     const outcome =
       limit === undefined
-        ? this.beliefs.acceptAbsent(instanceId, sentAt)
-        : this.beliefs.acceptNamed(instanceId, limit);
+        ? this.known.acceptAbsent(instanceId, sentAt)
+        : this.known.acceptNamed(instanceId, limit);
     this.handleOutcome(instanceId, outcome, true);
   }
 
@@ -170,17 +171,17 @@
     let bestMs = Infinity;
     for (const {target, perSecond} of holds) {
       const queue = this.getQueue(target.instanceId);
-      const ms = queue.computeReturnMs(perSecond);
+      const ms = queue.computeRetryMs(perSecond);
       if (ms >= bestMs) continue;
       best = queue;
       bestMs = ms;
     }
     if (best === undefined) return SILENT_WAIT_MS;
-    best.addReturn();
+    best.addRetry();
     return bestMs;
   }
 
-  startBeat(): void {
+  startHeartbeat(): void {
     this.beats++;
     if (this.beats % SWEEP_BEATS === 0) this.dropOld();
   }
@@ -193,7 +194,7 @@
     }
   }
 
-  acceptAsk(ask: PermitAskDatagram): void {
+  acceptPermitRequest(ask: PermitAskDatagram): void {
     const {instanceId} = ask.limit;
     const outcome = this.acceptTold(ask.limit, ask.name);
     this.handleOutcome(instanceId, outcome, this.isIssuer(instanceId));
@@ -201,7 +202,7 @@
     this.parts.peers.sendToNames([ask.name], answer);
   }
 
-  acceptAnswer(answer: PermitAnswerDatagram): void {
+  acceptPermitAnswer(answer: PermitAnswerDatagram): void {
     this.questions.accept(answer);
   }
 
@@ -223,7 +224,7 @@
   /** Finds an issuer among the hosts that are alive now. */
   private findIssuer(instanceId: string, turn: number): string | undefined {
     this.updateHosts();
-    const perSecond = this.beliefs.findRate(instanceId) ?? 0;
+    const perSecond = this.known.findRate(instanceId) ?? 0;
     return this.issuers.findIssuer(instanceId, perSecond, turn);
   }
 
@@ -242,7 +243,7 @@
       queue = new PermitQueue({
         clock: this.parts.clock,
         poll: (question) => this.tryPoll(instanceId, question),
-        findRate: () => this.beliefs.findRate(instanceId),
+        findRate: () => this.known.findRate(instanceId),
         firstTurn: hashText(this.parts.identity.name),
         findIssuer: (turn) => this.findIssuer(instanceId, turn),
       });
@@ -254,7 +255,7 @@
   /** Asks; what waits is answered whatever happens on the way. */
   private async tryPoll(
     instanceId: string,
-    question: QueueQuestion,
+    question: QueueRequest,
   ): Promise<PermitReply> {
     try {
       return await this.poll(instanceId, question);
@@ -267,13 +268,13 @@
 
   private async poll(
     instanceId: string,
-    question: QueueQuestion,
+    question: QueueRequest,
   ): Promise<PermitReply> {
     const {name, incarnation} = this.parts.identity;
     const {turn, ...wanted} = question;
     const issuer = this.findIssuer(instanceId, turn);
     if (issuer === undefined) return {kind: 'silent', waitMs: SILENT_WAIT_MS};
-    const limit = this.grants.createTold(instanceId);
+    const limit = this.grants.createLimitSummary(instanceId);
     const ask = {...wanted, name, incarnation, limit};
     const answer =
       issuer === name
@@ -286,7 +287,7 @@
       const outcome = this.acceptTold(answer.limit, issuer);
       this.handleOutcome(instanceId, outcome, false);
     }
-    if (this.beliefs.findRate(instanceId) === undefined) return {kind: 'free'};
+    if (this.known.findRate(instanceId) === undefined) return {kind: 'free'};
     const {isIssuer, granted, waitMs, pauseMs, lastReturnMs} = answer;
     if (!isIssuer) return {kind: 'silent', waitMs};
     return {kind: 'given', granted, waitMs, pauseMs, lastReturnMs};
@@ -305,38 +306,38 @@
     const at = this.parts.clock.getNow() - ageMs;
     const isLimited = perSecond !== undefined;
     // Who knows of no limit has nothing to end.
-    if (!isLimited && this.beliefs.findRate(instanceId) === undefined) {
+    if (!isLimited && this.known.findRate(instanceId) === undefined) {
       return 'known';
     }
     const rate = isLimited
       ? decideRate({kind: 'rate', perSecond}, undefined)
       : undefined;
     const report: LimitReport = {perSecond: rate, at};
-    return this.beliefs.accept(instanceId, report, source);
+    return this.known.accept(instanceId, report, source);
   }
 
   /** Not in each beat: it looks at all hosts, and most have no limit to keep. */
   private updateHosts(): void {
     const {peers} = this.parts;
     const {recordsHash} = peers;
-    const mayLive = peers.countMayLive();
+    const mayLive = peers.countPossiblyAlive();
     const isSame = recordsHash === this.recordsHash;
     if (isSame && mayLive === this.mayLive) return;
     this.recordsHash = recordsHash;
     this.mayLive = mayLive;
-    const names = peers.listStayingNames();
+    const names = peers.listReadyNames();
     this.issuers.update({names, mayLive});
   }
 
   /** Forgets endpoints that are gone, and limits that ended long ago. */
   private dropOld(): void {
     const oldest = this.parts.clock.getNow() - ENDED_KEPT_MS;
-    for (const instanceId of this.beliefs.listInstanceIds()) {
-      const report = this.beliefs.findReport(instanceId);
+    for (const instanceId of this.known.listInstanceIds()) {
+      const report = this.known.findReport(instanceId);
       const isEnded =
         report?.perSecond === undefined && (report?.at ?? 0) < oldest;
       if (this.parts.isEndpointKnown(instanceId) && !isEnded) continue;
-      this.beliefs.drop(instanceId);
+      this.known.drop(instanceId);
       this.issuers.drop(instanceId);
       this.grants.drop(instanceId);
       this.queues.delete(instanceId);
--- a/packages/gateway/src/services/use_notices.ts
+++ b/packages/gateway/src/services/use_publisher.ts
@@ -20,10 +20,10 @@
 export type HostUses = Readonly<Record<string, PeerUse>>;
 
 /** Tells what runs here, and takes what runs elsewhere. */
-export interface UseBoard extends EngineList {
-  listOwnUses(): HostUses;
+export interface UseRegistry extends EngineList {
+  listLocalUses(): HostUses;
   /** Finds what runs on an engine but for what one host has there. */
-  findUseBut(instanceId: string, host: string): ToldUse | undefined;
+  findUseExcept(instanceId: string, host: string): ToldUse | undefined;
   applyUses(host: string, uses: HostUses): void;
   /** Takes it that an engine took no connection of another host. */
   applyLoss(instanceId: string): void;
@@ -36,7 +36,7 @@
 ) => void;
 
 /** What the notices need to know of this host. */
-export interface UseNoticesOwner {
+export interface UsePublisherOwner {
   readonly name: string;
   readonly incarnation: number;
   readonly clock: Clock;
@@ -55,9 +55,9 @@
 const EMPTY_REPEATS = 2;
 
 /** Tells and takes what runs. */
-export class UseNotices {
+export class UsePublisher {
   /** Set by the service that knows what runs. */
-  board: UseBoard | undefined;
+  registry: UseRegistry | undefined;
   private sequence = 0;
   /** Beats since what runs was told last. */
   private quietBeats = 0;
@@ -69,7 +69,7 @@
   private readonly sequences = new Map<string, readonly [number, number]>();
 
   constructor(
-    private readonly owner: UseNoticesOwner,
+    private readonly owner: UsePublisherOwner,
     private readonly view: HostView<PeerPlace>,
     private readonly groups: EngineGroups,
     private readonly send: SendToHosts,
@@ -100,11 +100,11 @@
 
   /** Takes it that an engine took no connection of another host. */
   acceptLoss({instanceId}: LossDatagram): void {
-    this.board?.applyLoss(instanceId);
+    this.registry?.applyLoss(instanceId);
   }
 
   /** Tells again what runs, when that is due. */
-  startBeat(): void {
+  startHeartbeat(): void {
     this.quietBeats++;
     this.dropUnheard();
     if (this.quietBeats >= REPEAT_AFTER) this.sendUses(false);
@@ -115,7 +115,7 @@
     const [life, last] = this.sequences.get(name) ?? [0, 0];
     if (incarnation === life && sequence <= last) return;
     this.sequences.set(name, [incarnation, sequence]);
-    this.board?.applyUses(name, uses);
+    this.registry?.applyUses(name, uses);
   }
 
   close(): void {
@@ -135,7 +135,7 @@
 
   private sendUses(hasChanged: boolean): void {
     this.quietBeats = 0;
-    const uses = this.board?.listOwnUses() ?? {};
+    const uses = this.registry?.listLocalUses() ?? {};
     const isEmpty = Object.keys(uses).length === 0;
     if (!isEmpty || hasChanged) this.emptyLeft = EMPTY_REPEATS;
     else if (this.emptyLeft > 0) this.emptyLeft--;
@@ -165,7 +165,7 @@
     for (const name of this.sequences.keys()) {
       if (this.view.find(name)?.standing === 'alive') continue;
       this.sequences.delete(name);
-      this.board?.applyUses(name, {});
+      this.registry?.applyUses(name, {});
     }
   }
 }
--- a/packages/gateway/src/services/use_questions.ts
+++ b/packages/gateway/src/services/use_queries.ts
@@ -13,7 +13,7 @@
   ToldUse,
 } from '../model/peer_message.js';
 import type {EngineGroups} from './engine_groups.js';
-import type {SendToHosts, UseBoard} from './use_notices.js';
+import type {SendToHosts, UseRegistry} from './use_publisher.js';
 
 /**
  * How long an answer is waited for, in ms. Ways between failure domains take
@@ -27,9 +27,9 @@
 }
 
 /** Asks and answers. */
-export class UseQuestions {
+export class UseQueries {
   /** Set by the service that knows what runs. */
-  board: UseBoard | undefined;
+  registry: UseRegistry | undefined;
   private number = 0;
   private readonly open = new Map<number, OpenQuestion>();
 
@@ -51,13 +51,13 @@
   }
 
   /** Answers another host. */
-  acceptQuestion(question: QuestionDatagram): void {
+  acceptQuery(question: QuestionDatagram): void {
     const asker = this.view.find(question.name);
-    const {board} = this;
+    const {registry: board} = this;
     if (asker === undefined || board === undefined) return;
     const uses: ToldUse[] = [];
     for (const instanceId of question.instanceIds) {
-      const told = board.findUseBut(instanceId, question.name);
+      const told = board.findUseExcept(instanceId, question.name);
       if (told !== undefined) uses.push(told);
     }
     const {number} = question;
--- a/packages/gateway/src/serving/stream_driver.ts
+++ b/packages/gateway/src/serving/stream_driver.ts
@@ -175,7 +175,7 @@
     const backupClaim = {running: 0, unreadTokens: 0, expectedTokens};
     endpoint.addClaim(claim);
     backup?.addClaim(backupClaim);
-    this.parts.endpoints.peers.uses.publishPlaced();
+    this.parts.endpoints.peers.usePublisher.publishPlaced();
     const attempt = this.createAttempt(plan, claim, keeper);
     const now = this.parts.clock.getNow();
     this.evidence.recordSend();
@@ -201,7 +201,7 @@
       this.planner.setCopy(keeper.findCopy());
       endpoint.dropClaim(claim);
       backup?.dropClaim(backupClaim);
-      this.parts.endpoints.peers.uses.publishChanged();
+      this.parts.endpoints.peers.usePublisher.publishChanged();
     }
   }
 
@@ -234,7 +234,7 @@
   private markPromptRead(endpoint: EndpointRecord, claim: UseClaim): void {
     if (claim.unreadTokens === 0) return;
     endpoint.markRead(claim);
-    this.parts.endpoints.peers.uses.publishChanged();
+    this.parts.endpoints.peers.usePublisher.publishChanged();
   }
 
   private createKeeper({endpoint, backup}: AttemptPlan): CopyKeeper {
@@ -294,7 +294,7 @@
     if (result.kind === 'stopped') return;
     recordLoss(this.parts.endpoints, endpoint, result.kind);
     if (!hasRun && result.kind === 'lost') {
-      this.parts.endpoints.peers.uses.publishLoss(endpoint.instanceId);
+      this.parts.endpoints.peers.usePublisher.publishLoss(endpoint.instanceId);
     }
     const {lastEventId} = this.progress;
     this.report.recordLoss(plan, result, this.lossDetail, lastEventId);
--- a/packages/gateway/src/serving/stream_planner.ts
+++ b/packages/gateway/src/serving/stream_planner.ts
@@ -107,7 +107,7 @@
     this.known = undefined;
     if (this.findHolder(this.copy) !== undefined) return;
     const {endpoints, random} = this.parts;
-    const {groups, questions} = endpoints.peers;
+    const {groups, useQueries: questions} = endpoints.peers;
     const usable = listLive(this.parts, this.service);
     const isHome = ({instanceId}: EndpointRecord): boolean =>
       groups.isHome(instanceId);
--- a/packages/gateway/src/tables/news_spreader.ts
+++ b/packages/gateway/src/tables/news_spreader.ts
@@ -18,7 +18,7 @@
 import type {StoreNews} from './store_news.js';
 import type {TableFollower} from './table_follower.js';
 import type {Tables} from './tables.js';
-import type {SendToHosts} from '../services/use_notices.js';
+import type {SendToHosts} from '../services/use_publisher.js';
 
 /** The hosts that news goes to. */
 export interface NewsTargets {
--- a/packages/gateway/tests/engine_groups.test.ts
+++ b/packages/gateway/tests/engine_groups.test.ts
@@ -48,7 +48,7 @@
     const failureDomain = `domain-${at % DOMAINS}`;
     housed.push({instanceId: `i-${at}`, failureDomain});
   }
-  groups.engines = {version: 1, listHoused: () => housed};
+  groups.engines = {version: 1, listEngines: () => housed};
   return groups;
 }
 
--- a/packages/gateway/tests/run_leases.test.ts
+++ b/packages/gateway/tests/run_leases.test.ts
@@ -69,7 +69,7 @@
   private add(name: string): void {
     const {clock} = this;
     const peers = {
-      listStayingNames: () => [...this.alive],
+      listReadyNames: () => [...this.alive],
       sendToNames: (names: readonly string[], datagram: PeerDatagram) => {
         if (!this.hosts.has(name)) return;
         for (const to of names) this.send(to, datagram);
@@ -101,8 +101,8 @@
   private send(to: string, datagram: PeerDatagram): void {
     this.clock.plan(WAY_MS, () => {
       const client = this.hosts.get(to)?.client;
-      if (datagram.kind === 'lease-ask') client?.acceptLeaseAsk(datagram);
-      if (datagram.kind === 'lease-end') client?.acceptLeaseEnd(datagram);
+      if (datagram.kind === 'lease-ask') client?.acceptLeaseRequest(datagram);
+      if (datagram.kind === 'lease-end') client?.acceptLeaseRelease(datagram);
       if (datagram.kind === 'lease-answer') client?.acceptLeaseAnswer(datagram);
     });
   }
--- a/scripts/crash_trials.mjs
+++ b/scripts/crash_trials.mjs
@@ -24,7 +24,7 @@
   ],
   [
     'crash: all hosts are told at once',
-    `${GATEWAY}/services/crash_notices.js`,
+    `${GATEWAY}/services/crash_publisher.js`,
     "this.sendToAll({ kind: 'crashes', crashes: part })",
     'void part',
     TEST,
--- a/scripts/limit_trials.mjs
+++ b/scripts/limit_trials.mjs
@@ -73,7 +73,7 @@
   ],
   [
     'limit: the issuer tells all hosts',
-    `${GATEWAY}/services/limit_notices.js`,
+    `${GATEWAY}/services/limit_publisher.js`,
     'this.parts.sendToAll(this.createDatagram(part))',
     'void part',
     SUM,
--- a/scripts/restore_trials.mjs
+++ b/scripts/restore_trials.mjs
@@ -51,7 +51,7 @@
   ],
   [
     'restore: leaving endpoints are remembered',
-    `${GATEWAY}/services/leaving_starts.js`,
+    `${GATEWAY}/services/leaving_instances.js`,
     'return this.instanceIds.has(instanceId);',
     'return false;',
     HOSTS,
