--- a/packages/gateway/src/services/endpoints.ts
+++ b/packages/gateway/src/services/endpoints.ts
@@ -41,7 +41,8 @@
         help: 'Entries that named no endpoint, a count.',
         registers: [context.metrics],
       }),
-      getDepartureDelay: () => peers.standing.getDepartureDelay(clock.getNow()),
+      getDepartureDelayMs: () =>
+        peers.standing.getDepartureDelay(clock.getNow()),
       peers,
       pauses: new EndpointPauses(clock, log),
     });
--- a/packages/gateway/src/services/gateway_endpoints.ts
+++ b/packages/gateway/src/services/gateway_endpoints.ts
@@ -30,7 +30,7 @@
   /** Counts entries that cannot be read. */
   readonly unreadableEntries: Counter;
   /** For how long a vanished entry stays in use, in ms from now. */
-  readonly getDepartureDelay: () => number;
+  readonly getDepartureDelayMs: () => number;
   readonly peers: Peers;
   readonly pauses: EndpointPauses;
 }
@@ -69,7 +69,7 @@
 
   /** Whether entries may be missing because the store is or was away. */
   get isStoreAway(): boolean {
-    return this.parts.getDepartureDelay() > 0;
+    return this.parts.getDepartureDelayMs() > 0;
   }
 
   /** Finds an endpoint by its instance id. */
--- a/packages/gateway/src/services/known_limits.ts
+++ b/packages/gateway/src/services/known_limits.ts
@@ -75,7 +75,7 @@
   }
 
   /** Takes a limit that an answer named just now. */
-  acceptNamed(instanceId: string, named: NamedLimit): ReportOutcome {
+  acceptAdvertised(instanceId: string, named: NamedLimit): ReportOutcome {
     const before = this.beliefs.get(instanceId)?.perSecond;
     const perSecond = decideRate(named, before);
     if (named.kind === 'unreadable' && before === undefined) {
--- a/packages/gateway/src/services/permit_queue.ts
+++ b/packages/gateway/src/services/permit_queue.ts
@@ -85,7 +85,7 @@
   }
 
   /** Gives when one more caller may come back, in ms from now. */
-  computeRetryMs(perSecond: number): number {
+  computeRetryDelayMs(perSecond: number): number {
     const now = this.parts.clock.getNow();
     const lastMs = Math.max(0, this.lastReturnAt - now);
     const afterMs = ((this.refused + 1) * MILLI) / perSecond;
--- a/packages/gateway/src/services/send_limits.ts
+++ b/packages/gateway/src/services/send_limits.ts
@@ -162,7 +162,7 @@
     const outcome =
       limit === undefined
         ? this.known.acceptAbsent(instanceId, sentAt)
-        : this.known.acceptNamed(instanceId, limit);
+        : this.known.acceptAdvertised(instanceId, limit);
     this.handleOutcome(instanceId, outcome, true);
   }
 
@@ -171,7 +171,7 @@
     let bestMs = Infinity;
     for (const {target, perSecond} of holds) {
       const queue = this.getQueue(target.instanceId);
-      const ms = queue.computeRetryMs(perSecond);
+      const ms = queue.computeRetryDelayMs(perSecond);
       if (ms >= bestMs) continue;
       best = queue;
       bestMs = ms;
