--- a/packages/gateway/src/services/rollout_decider.ts
+++ b/packages/gateway/src/services/rollout_decider.ts
@@ -7,7 +7,7 @@
 import {decideNextPhase, type RolloutPhase} from '@irisdock/decisions';
 import type {Clock, Logger} from '@irisdock/kernel';
 import type {RolloutCodec, RolloutOutcome} from '../model/rollout_order.js';
-import type {WatchedStore} from '../model/watched_table.js';
+import type {TableStore} from '../model/table_store.js';
 import type {RolloutState} from '../serving/rollout_state.js';
 import type {Rollouts, RolloutsParts} from '../serving/rollouts.js';
 
@@ -15,7 +15,7 @@
 export interface RolloutDeciderParts {
   readonly rollouts: Rollouts;
   readonly bounds: RolloutsParts['bounds'];
-  readonly store: WatchedStore;
+  readonly store: TableStore;
   readonly codec: RolloutCodec;
   readonly clock: Clock;
   readonly log: Logger;
@@ -46,7 +46,7 @@
   constructor(private readonly parts: RolloutDeciderParts) {}
 
   /** Forgets which statuses are written: the store may have lost them. */
-  markLost(): void {
+  dropStatuses(): void {
     this.written.clear();
   }
 
@@ -75,7 +75,7 @@
     state: RolloutState,
   ): Parameters<typeof decideNextPhase>[0] {
     const {rollouts, bounds, clock, listHosts} = this.parts;
-    const newEndpoints = rollouts.listNew(state).length;
+    const newEndpoints = rollouts.listNewEndpoints(state).length;
     return state.createView(listHosts(), newEndpoints, bounds, clock.getNow());
   }
 
@@ -90,7 +90,7 @@
       trialSends,
       requests,
     });
-    this.parts.rollouts.handleAdvanced(state);
+    this.parts.rollouts.handlePhaseChange(state);
     this.parts.publishPhase(state);
   }
 
--- a/packages/gateway/src/services/use_notices.ts
+++ b/packages/gateway/src/services/use_publisher.ts
@@ -7,23 +7,26 @@
 import type {HostView, KnownHost} from '@irisdock/decisions';
 import type {Clock} from '@irisdock/kernel';
 import type {
-  LossDatagram,
+  EndpointUnreachableDatagram,
   PeerDatagram,
-  PeerPlace,
-  PeerUse,
-  ToldUse,
-  UsesDatagram,
+  PeerLocation,
+  PeerUsage,
+  EndpointUsageReport,
+  UsageDatagram,
 } from '../model/peer_message.js';
 import type {EngineGroups, EngineList} from './engine_groups.js';
 
 /** What a host has running, by the instance id of the endpoint. */
-export type HostUses = Readonly<Record<string, PeerUse>>;
+export type HostUses = Readonly<Record<string, PeerUsage>>;
 
 /** Tells what runs here, and takes what runs elsewhere. */
-export interface UseBoard extends EngineList {
-  listOwnUses(): HostUses;
+export interface UseRegistry extends EngineList {
+  listLocalUses(): HostUses;
   /** Finds what runs on an engine but for what one host has there. */
-  findUseBut(instanceId: string, host: string): ToldUse | undefined;
+  findUseExcept(
+    instanceId: string,
+    host: string,
+  ): EndpointUsageReport | undefined;
   applyUses(host: string, uses: HostUses): void;
   /** Takes it that an engine took no connection of another host. */
   applyLoss(instanceId: string): void;
@@ -31,12 +34,12 @@
 
 /** Sends a datagram to hosts. */
 export type SendToHosts = (
-  hosts: readonly KnownHost<PeerPlace>[],
+  hosts: readonly KnownHost<PeerLocation>[],
   datagram: PeerDatagram,
 ) => void;
 
 /** What the notices need to know of this host. */
-export interface UseNoticesOwner {
+export interface UsePublisherOwner {
   readonly name: string;
   readonly incarnation: number;
   readonly clock: Clock;
@@ -55,9 +58,9 @@
 const EMPTY_REPEATS = 2;
 
 /** Tells and takes what runs. */
-export class UseNotices {
+export class UsePublisher {
   /** Set by the service that knows what runs. */
-  board: UseBoard | undefined;
+  registry: UseRegistry | undefined;
   private sequence = 0;
   /** Beats since what runs was told last. */
   private quietBeats = 0;
@@ -69,8 +72,8 @@
   private readonly sequences = new Map<string, readonly [number, number]>();
 
   constructor(
-    private readonly owner: UseNoticesOwner,
-    private readonly view: HostView<PeerPlace>,
+    private readonly owner: UsePublisherOwner,
+    private readonly view: HostView<PeerLocation>,
     private readonly groups: EngineGroups,
     private readonly send: SendToHosts,
   ) {}
@@ -99,23 +102,23 @@
   }
 
   /** Takes it that an engine took no connection of another host. */
-  acceptLoss({instanceId}: LossDatagram): void {
-    this.board?.applyLoss(instanceId);
+  acceptLoss({instanceId}: EndpointUnreachableDatagram): void {
+    this.registry?.applyLoss(instanceId);
   }
 
   /** Tells again what runs, when that is due. */
-  startBeat(): void {
+  startHeartbeat(): void {
     this.quietBeats++;
     this.dropUnheard();
     if (this.quietBeats >= REPEAT_AFTER) this.sendUses(false);
   }
 
   /** Takes what another host has running. */
-  accept({name, incarnation, sequence, uses}: UsesDatagram): void {
+  accept({name, incarnation, sequence, uses}: UsageDatagram): void {
     const [life, last] = this.sequences.get(name) ?? [0, 0];
     if (incarnation === life && sequence <= last) return;
     this.sequences.set(name, [incarnation, sequence]);
-    this.board?.applyUses(name, uses);
+    this.registry?.applyUses(name, uses);
   }
 
   close(): void {
@@ -135,7 +138,7 @@
 
   private sendUses(hasChanged: boolean): void {
     this.quietBeats = 0;
-    const uses = this.board?.listOwnUses() ?? {};
+    const uses = this.registry?.listLocalUses() ?? {};
     const isEmpty = Object.keys(uses).length === 0;
     if (!isEmpty || hasChanged) this.emptyLeft = EMPTY_REPEATS;
     else if (this.emptyLeft > 0) this.emptyLeft--;
@@ -151,7 +154,9 @@
   }
 
   /** Lists the own group, and the homes of engines that it is not home of. */
-  private listTargets(instanceIds: Iterable<string>): KnownHost<PeerPlace>[] {
+  private listTargets(
+    instanceIds: Iterable<string>,
+  ): KnownHost<PeerLocation>[] {
     const hosts = new Set(this.groups.listGroup());
     for (const instanceId of instanceIds) {
       if (this.groups.isHome(instanceId)) continue;
@@ -165,7 +170,7 @@
     for (const name of this.sequences.keys()) {
       if (this.view.find(name)?.standing === 'alive') continue;
       this.sequences.delete(name);
-      this.board?.applyUses(name, {});
+      this.registry?.applyUses(name, {});
     }
   }
 }
--- a/packages/gateway/src/serving/call_driver.ts
+++ b/packages/gateway/src/serving/call_driver.ts
@@ -4,14 +4,20 @@
  */
 import {choosePlainEndpoint} from '@irisdock/decisions';
 import type {KnownError} from '@irisdock/kernel';
-import {FAILED_STATUS, findAnswerFault} from '../channels/answer_check.js';
-import type {EndpointAnswer} from '../channels/endpoint_client.js';
+import {
+  MIN_SERVER_ERROR_STATUS,
+  findResponseFault,
+} from '../channels/response_check.js';
+import type {EndpointResponse} from '../channels/endpoint_client.js';
 import {GATEWAY_ERRORS} from '../errors.js';
 import type {ServingRoute} from '../model/serving_configuration.js';
-import {readPlainAnswer, type AnswerReading} from './answer_reading.js';
+import {
+  readPlainAnswer,
+  type PlainAnswerResult,
+} from './plain_answer_reader.js';
 import type {AdmittedRequest, PlainAnswer} from './caller_exchange.js';
 import type {EndpointRecord, UseClaim} from './endpoint_record.js';
-import {listLive} from './live_endpoints.js';
+import {listLiveEndpoints} from './live_endpoints.js';
 import type {SendPermit} from './send_gate.js';
 import {SendHolds} from './send_holds.js';
 import {
@@ -21,10 +27,10 @@
   createRefused,
   FAILURE_WEIGHTS,
   MAX_BUSY_WAIT_MS,
-  recordLoss,
+  recordEndpointFailure,
 } from './send_rules.js';
-import {getRandomPart, type ServingParts} from './serving_parts.js';
-import {SuspectRun} from './suspect_run.js';
+import {getRandomFraction, type ServingParts} from './serving_parts.js';
+import {SuspectRunAdmission} from './suspect_run.js';
 
 /** Sends that certainly did not run may be repeated this often. */
 const MAX_NOT_RUN = 3;
@@ -43,7 +49,7 @@
   private mayHaveRun = false;
   private hasLooked = false;
   private readonly holds: SendHolds;
-  private readonly suspect: SuspectRun;
+  private readonly suspect: SuspectRunAdmission;
   private isBusy = false;
 
   constructor(
@@ -53,7 +59,7 @@
     private readonly service: string,
   ) {
     this.holds = new SendHolds(parts);
-    this.suspect = new SuspectRun(parts, request);
+    this.suspect = new SuspectRunAdmission(parts, request);
   }
 
   /** Sends until there is a final answer; gives its outcome for the figures. */
@@ -84,7 +90,7 @@
         continue;
       }
       const result = await this.send(endpoint, permit);
-      if (this.request.exchange.hasLeft()) return 'left';
+      if (this.request.exchange.hasDisconnected()) return 'left';
       this.record(endpoint, result);
       await this.checkEnd(endpoint, result);
       if (this.request.exchange.isExpired) return this.finishExpired();
@@ -95,7 +101,7 @@
   /** Gives the outcome of a call whose caller left or whose time is over. */
   private findEnd(): string | undefined {
     const {exchange} = this.request;
-    if (exchange.hasLeft()) return 'left';
+    if (exchange.hasDisconnected()) return 'left';
     return exchange.isExpired ? this.finishExpired() : undefined;
   }
 
@@ -104,18 +110,18 @@
     const isFirst = !this.hasLooked;
     this.hasLooked = true;
     const trial = isFirst ? rollouts.takeTrial(this.service) : undefined;
-    const usable = trial ?? listLive(this.parts, this.service);
+    const usable = trial ?? listLiveEndpoints(this.parts, this.service);
     const unconfirmed = isFirst ? gate.takeUnconfirmed(usable) : undefined;
     if (unconfirmed !== undefined) return unconfirmed;
     return choosePlainEndpoint(usable, this.excluded, () =>
-      getRandomPart(this.parts.random),
+      getRandomFraction(this.parts.random),
     );
   }
 
   private async send(
     endpoint: EndpointRecord,
     permit: SendPermit,
-  ): Promise<AnswerReading> {
+  ): Promise<PlainAnswerResult> {
     const {exchange, requestId, terms, team, body} = this.request;
     this.lastEndpoint = endpoint;
     this.sends++;
@@ -128,13 +134,13 @@
         requestId,
         method: exchange.method,
         path: exchange.path,
-        lines: this.parts.codec.encodeSend(exchange.lines, {
+        lines: this.parts.codec.encodeRequest(exchange.lines, {
           endpointId: endpoint.endpointId,
           team,
           remainingMs: computeRemainingMs(this.request, this.route, sentAt),
           lastEventId: terms.lastEventId,
           backupAddress: undefined,
-          memorySource: undefined,
+          kvCacheSource: undefined,
         }),
         body,
         signal: exchange.signal,
@@ -148,50 +154,52 @@
       }
       return result;
     } finally {
-      endpoint.dropClaim(claim);
+      endpoint.releaseClaim(claim);
     }
   }
 
   private async readAnswer(
     endpoint: EndpointRecord,
-    answer: EndpointAnswer,
+    answer: EndpointResponse,
     requestId: string,
-  ): Promise<AnswerReading> {
-    const fault = findAnswerFault(answer, requestId);
+  ): Promise<PlainAnswerResult> {
+    const fault = findResponseFault(answer, requestId);
     if (fault !== undefined) {
       answer.close();
       return {kind: 'lost', mayHaveRun: true, detail: fault};
     }
-    if (answer.terms.load !== undefined) endpoint.recordLoad(answer.terms.load);
+    if (answer.metadata.load !== undefined) {
+      endpoint.recordLoad(answer.metadata.load);
+    }
     return readPlainAnswer(this.parts.endpoints, endpoint, answer);
   }
 
   private recordAnswer(
     endpoint: EndpointRecord,
-    result: AnswerReading,
+    result: PlainAnswerResult,
     ms: number,
   ): void {
     if (result.kind !== 'whole') return;
-    const isFailed = result.answer.status >= FAILED_STATUS;
+    const isFailed = result.answer.status >= MIN_SERVER_ERROR_STATUS;
     const {name: route} = this.route;
     this.parts.rollouts.recordAnswer(endpoint, {route, isFailed, ms});
   }
 
   /** Notes what a send says of the endpoint and of the request. */
-  private record(endpoint: EndpointRecord, result: AnswerReading): void {
+  private record(endpoint: EndpointRecord, result: PlainAnswerResult): void {
     const {log, metrics} = this.parts;
     this.excluded.add(endpoint.instanceId);
     if (result.kind === 'whole') {
       this.runs++;
       this.mayHaveRun = true;
       this.last = result.answer;
-      if (result.answer.status >= FAILED_STATUS) {
+      if (result.answer.status >= MIN_SERVER_ERROR_STATUS) {
         endpoint.recordFailure(FAILURE_WEIGHTS.failed);
       }
       return;
     }
     const mayHaveRun = result.kind === 'lost' && result.mayHaveRun;
-    recordLoss(this.parts.endpoints, endpoint, result.kind);
+    recordEndpointFailure(this.parts.endpoints, endpoint, result.kind);
     if (mayHaveRun) {
       this.runs++;
       this.mayHaveRun = true;
@@ -217,13 +225,13 @@
    */
   private async checkEnd(
     endpoint: EndpointRecord,
-    result: AnswerReading,
+    result: PlainAnswerResult,
   ): Promise<void> {
     const {crashes, lostRuns} = this.parts;
     const {requestId, content, exchange} = this.request;
     if (result.kind === 'whole') {
-      if (result.answer.status < FAILED_STATUS) {
-        crashes.recordEndedWell(content);
+      if (result.answer.status < MIN_SERVER_ERROR_STATUS) {
+        crashes.recordCompletion(content);
       }
       return;
     }
@@ -239,11 +247,11 @@
     return this.parts.crashes.isRefused(this.request.content);
   }
 
-  private isRepeatAllowed(result: AnswerReading): boolean {
+  private isRepeatAllowed(result: PlainAnswerResult): boolean {
     const {route} = this;
     if (this.notRun > MAX_NOT_RUN) return false;
     const isWhole = result.kind === 'whole';
-    if (isWhole && result.answer.status < FAILED_STATUS) return false;
+    if (isWhole && result.answer.status < MIN_SERVER_ERROR_STATUS) return false;
     const hasRun = isWhole || (result.kind === 'lost' && result.mayHaveRun);
     if (hasRun && route.kind === 'once') return false;
     if (this.isRefused) return false;
@@ -252,7 +260,7 @@
     if (computeRemainingMs(this.request, route, now) < MIN_SEND_MS) {
       return false;
     }
-    return this.parts.budgets.takeRepeat(this.service);
+    return this.parts.retryBudgets.takeRetry(this.service);
   }
 
   private finish(): string {
@@ -273,7 +281,7 @@
     }
     if ('body' in last) {
       exchange.sendAnswer(last);
-      return last.status >= FAILED_STATUS ? 'failed' : 'answered';
+      return last.status >= MIN_SERVER_ERROR_STATUS ? 'failed' : 'answered';
     }
     exchange.refuse(last, false);
     this.recordRefusal(last);
--- a/packages/gateway/src/serving/rollout_state.ts
+++ b/packages/gateway/src/serving/rollout_state.ts
@@ -3,8 +3,8 @@
  * forward, and what this host and others saw of it.
  */
 import {
-  computeTrialRoom,
-  decideVersion,
+  computeTrialQuota,
+  decideVersionVerdict,
   ROLLOUT_PHASES,
   type ExposureBounds,
   type RolloutPhase,
@@ -15,7 +15,7 @@
 import {
   computeEvidence,
   RolloutCounts,
-  type SeenAnswer,
+  type ObservedAnswer,
 } from './rollout_counts.js';
 
 /** How an endpoint stands to a roll-out of its service. */
@@ -88,14 +88,14 @@
   takeTrial(bounds: ExposureBounds, hosts: number): boolean {
     if (this.known !== 'trial') return false;
     const {counts} = this;
-    const room = computeTrialRoom(bounds, counts.requests, hosts);
+    const room = computeTrialQuota(bounds, counts.requests, hosts);
     if (counts.trialSends + 1 > room) return false;
     counts.trialSends++;
     return true;
   }
 
   /** Takes an answer; a host that sees enough by itself goes back at once. */
-  addAnswer(answer: SeenAnswer): boolean {
+  addAnswer(answer: ObservedAnswer): boolean {
     this.counts.add(answer);
     if (!answer.isNew || this.isOver) return false;
     return this.counts.decide() === 'bad' && this.setPhase('rolled-back');
@@ -135,7 +135,7 @@
       reports.reduce((total, report) => total + get(report), 0);
     return {
       phase: this.known,
-      verdict: decideVersion(
+      verdict: decideVersionVerdict(
         computeEvidence(reports.map(({routes}) => routes)),
       ),
       bounds,
--- a/packages/gateway/src/tables/restore_settling.ts
+++ b/packages/gateway/src/tables/restore_grace_period.ts
@@ -3,11 +3,11 @@
  * rows again, so missing rows do not count as deleted until the table is read
  * once more at the end.
  */
-import {RETURN_GRACE_MS} from '@irisdock/decisions';
+import {RECOVERY_GRACE_MS} from '@irisdock/decisions';
 import type {Clock} from '@irisdock/kernel';
 
 /** Dependencies of the grace period. */
-export interface RestoreSettlingParts {
+export interface RestoreGracePeriodParts {
   readonly clock: Clock;
   /** Aborts it. */
   readonly signal: AbortSignal;
@@ -18,20 +18,20 @@
 }
 
 /** The grace period of one table. */
-export class RestoreSettling {
+export class RestoreGracePeriod {
   private settlesAt = -Infinity;
   private running: Promise<void> | undefined;
 
-  constructor(private readonly parts: RestoreSettlingParts) {}
+  constructor(private readonly parts: RestoreGracePeriodParts) {}
 
   /** Whether the grace period is under way. */
-  isUnderWay(now: number): boolean {
+  isActive(now: number): boolean {
     return now < this.settlesAt;
   }
 
   /** Starts the grace period; restarts it on another restore. */
   start(now: number): void {
-    this.settlesAt = now + RETURN_GRACE_MS;
+    this.settlesAt = now + RECOVERY_GRACE_MS;
   }
 
   /** Plans a whole read of the store for its end. */
@@ -54,7 +54,7 @@
         continue;
       }
       const isRead = await readWhole();
-      if (isRead && !this.isUnderWay(clock.getNow())) return;
+      if (isRead && !this.isActive(clock.getNow())) return;
       await clock.wait(retryMs, signal);
     }
   }
--- a/scripts/crash_trials.mjs
+++ b/scripts/crash_trials.mjs
@@ -9,8 +9,8 @@
   [
     'crash: three are enough',
     LEDGER,
-    'REFUSED_FROM = 3',
-    'REFUSED_FROM = 99',
+    'REFUSAL_THRESHOLD = 3',
+    'REFUSAL_THRESHOLD = 99',
     TEST,
     'at one host once',
   ],
@@ -24,7 +24,7 @@
   ],
   [
     'crash: all hosts are told at once',
-    `${GATEWAY}/services/crash_notices.js`,
+    `${GATEWAY}/services/crash_broadcaster.js`,
     "this.sendToAll({ kind: 'crashes', crashes: part })",
     'void part',
     TEST,
@@ -48,7 +48,7 @@
   ],
   [
     'crash: a lost failure domain is not held against what ran there',
-    `${GATEWAY}/serving/endpoint_end.js`,
+    `${GATEWAY}/serving/endpoint_exit_check.js`,
     "'ended-with-domain'",
     "'ended'",
     TEST,
@@ -65,7 +65,7 @@
   [
     'crash: a run to the end clears a content',
     `${GATEWAY}/serving/crash_records.js`,
-    'this.spreader?.publishCleared(content)',
+    'this.publisher?.publishCleared(content)',
     'void 0',
     TEST,
     'is served once it is run to its end',
