--- a/packages/gateway/src/serving/answer_body.ts
+++ b/packages/gateway/src/serving/answer_body.ts
@@ -1,10 +1,10 @@
-/** Reads the whole body of an answer. */
+/** Reads the body of an answer. */
 import type {EndpointAnswer} from '../channels/endpoint_client.js';
 
-/** Bodies that are longer count as cut; callers never need such ones. */
+/** Longer bodies are treated as truncated; no caller needs them. */
 const MAX_BODY_BYTES = 8_388_608;
 
-/** Gives the body; undefined when it was cut short or is too long. */
+/** Reads the whole body; undefined if it was truncated or is too long. */
 export async function readAnswerBody(
   answer: EndpointAnswer,
 ): Promise<Buffer | undefined> {
--- a/packages/gateway/src/serving/attempt_admission.ts
+++ b/packages/gateway/src/serving/attempt_admission.ts
@@ -1,32 +1,33 @@
-/** Asks for the permit of one attempt of a stream. */
+/** Requests the permit for one attempt of a stream. */
 import type {SendAdmission} from './send_gate.js';
 import type {ServingParts} from './serving_parts.js';
 import type {AttemptPlan} from './stream_attempt.js';
 
 /**
- * How long a limit of the engine that keeps the memory is waited for, in ms: to
- * read a prompt anew on another takes longer.
+ * How long to wait for a permit of the engine that holds the KV cache, in ms.
+ * Processing the prompt again on another engine takes longer.
  */
-const HOLDER_MS = 400;
+const MAX_REPLICA_WAIT_MS = 400;
 
 /**
- * Asks for the permit. Who has a part of the answer goes before others, and waits
- * a while for the engine that keeps its memory.
+ * Requests the permit for an attempt. A stream whose caller has received part
+ * of the answer goes before others. An attempt that starts from a KV cache
+ * waits a while for the engine that holds it.
  */
 export async function admitAttempt(
   {client, clock}: ServingParts,
   {endpoint, memorySource}: AttemptPlan,
-  isBegun: boolean,
+  isResumed: boolean,
   signal: AbortSignal,
 ): Promise<SendAdmission> {
-  const use = isBegun ? 'begun' : 'usual';
-  const mostMs = memorySource === undefined ? 0 : HOLDER_MS;
-  const until = clock.getNow() + mostMs;
+  const use = isResumed ? 'begun' : 'usual';
+  const maxWaitMs = memorySource === undefined ? 0 : MAX_REPLICA_WAIT_MS;
+  const deadline = clock.getNow() + maxWaitMs;
   for (;;) {
     const permit = await client.admit(endpoint, use);
     if (permit.kind === 'permit' || signal.aborted) return permit;
     const waitMs = Math.max(1, permit.waitMs);
-    if (clock.getNow() + waitMs > until) return permit;
+    if (clock.getNow() + waitMs > deadline) return permit;
     await clock.wait(waitMs, signal);
   }
 }
--- a/packages/gateway/src/serving/call_driver.ts
+++ b/packages/gateway/src/serving/call_driver.ts
@@ -1,6 +1,6 @@
 /**
- * Drives one call to a plain service to its one final answer. A call that may
- * not run twice is sent again only when the one before certainly did not run.
+ * Drives one call to a plain service to its final answer. A call that must not
+ * run twice is retried only if the previous attempt certainly did not run.
  */
 import {choosePlainEndpoint} from '@irisdock/decisions';
 import type {KnownError} from '@irisdock/kernel';
@@ -29,25 +29,25 @@
 import {getRandomFraction, type ServingParts} from './serving_parts.js';
 import {SuspectRunAdmission} from './suspect_run.js';
 
-/** Sends that certainly did not run may be repeated this often. */
-const MAX_NOT_RUN = 3;
+/** How many sends that certainly did not run may be retried. */
+const MAX_NOT_RUN_SENDS = 3;
 
 /** Drives one call. */
 export class CallDriver {
   /** The endpoint of the last send; undefined before the first. */
   lastEndpoint: EndpointRecord | undefined;
-  /** Sends so far. */
+  /** The number of sends so far. */
   sends = 0;
   private readonly excluded = new Set<string>();
   private runs = 0;
   private notRun = 0;
-  /** What is told when no further send is made. */
-  private last: KnownError | PlainAnswer | undefined;
+  /** The answer or error for the caller if there is no further send. */
+  private lastResult: KnownError | PlainAnswer | undefined;
   private mayHaveRun = false;
-  private hasLooked = false;
+  private hasChosen = false;
   private readonly holds: SendHolds;
   private readonly suspect: SuspectRunAdmission;
-  private isBusy = false;
+  private isContentBusy = false;
 
   constructor(
     private readonly parts: ServingParts,
@@ -59,7 +59,7 @@
     this.suspect = new SuspectRunAdmission(parts, request);
   }
 
-  /** Sends until there is a final answer; gives its outcome for the figures. */
+  /** Sends until there is a final answer; returns its outcome for metrics. */
   async run(): Promise<string> {
     try {
       return await this.runSends();
@@ -72,31 +72,33 @@
     const {signal} = this.request.exchange;
     for (;;) {
       const admission = await this.suspect.admit(signal, MAX_BUSY_WAIT_MS);
-      this.isBusy = admission === 'busy';
-      if (admission !== 'admitted') return this.findEnd() ?? this.finish();
+      this.isContentBusy = admission === 'busy';
+      if (admission !== 'admitted') {
+        return this.findEarlyOutcome() ?? this.finish();
+      }
       const endpoint = this.chooseEndpoint();
       if (endpoint === undefined) return this.finish();
-      const ended = this.findEnd();
+      const ended = this.findEarlyOutcome();
       if (ended !== undefined) return ended;
       const {client} = this.parts;
       const permit = await client.admit(endpoint, 'usual');
       if (permit.kind === 'held') {
-        // Another may have room; this one has told that it has none.
+        // Another endpoint may have capacity; this one is at its limit.
         this.holds.add(permit);
         this.excluded.add(endpoint.instanceId);
         continue;
       }
       const result = await this.send(endpoint, permit);
       if (this.request.exchange.hasDisconnected()) return 'left';
-      this.record(endpoint, result);
-      await this.checkEnd(endpoint, result);
+      this.recordResult(endpoint, result);
+      await this.checkEndpointExit(endpoint, result);
       if (this.request.exchange.isExpired) return this.finishExpired();
-      if (!this.isRepeatAllowed(result)) return this.finish();
+      if (!this.isRetryAllowed(result)) return this.finish();
     }
   }
 
-  /** Gives the outcome of a call whose caller left or whose time is over. */
-  private findEnd(): string | undefined {
+  /** Returns the outcome if the caller disconnected or the time expired. */
+  private findEarlyOutcome(): string | undefined {
     const {exchange} = this.request;
     if (exchange.hasDisconnected()) return 'left';
     return exchange.isExpired ? this.finishExpired() : undefined;
@@ -104,8 +106,8 @@
 
   private chooseEndpoint(): EndpointRecord | undefined {
     const {gate, rollouts} = this.parts;
-    const isFirst = !this.hasLooked;
-    this.hasLooked = true;
+    const isFirst = !this.hasChosen;
+    this.hasChosen = true;
     const trial = isFirst ? rollouts.takeTrial(this.service) : undefined;
     const usable = trial ?? listLiveEndpoints(this.parts, this.service);
     const unconfirmed = isFirst ? gate.takeUnconfirmed(usable) : undefined;
@@ -180,14 +182,17 @@
     this.parts.rollouts.recordAnswer(endpoint, {route, isFailed, ms});
   }
 
-  /** Notes what a send says of the endpoint and of the request. */
-  private record(endpoint: EndpointRecord, result: PlainAnswerResult): void {
+  /** Updates the state of endpoint and request with the result of a send. */
+  private recordResult(
+    endpoint: EndpointRecord,
+    result: PlainAnswerResult,
+  ): void {
     const {log, metrics} = this.parts;
     this.excluded.add(endpoint.instanceId);
     if (result.kind === 'whole') {
       this.runs++;
       this.mayHaveRun = true;
-      this.last = result.answer;
+      this.lastResult = result.answer;
       if (result.answer.status >= FAILED_STATUS) {
         endpoint.recordFailure(FAILURE_WEIGHTS.failed);
       }
@@ -199,12 +204,12 @@
       this.runs++;
       this.mayHaveRun = true;
       const {detail} = result;
-      this.last = GATEWAY_ERRORS.create('answer_lost', {detail});
+      this.lastResult = GATEWAY_ERRORS.create('answer_lost', {detail});
     } else {
       this.notRun++;
     }
     metrics.losses.inc({reason: mayHaveRun ? 'lost' : 'refused'});
-    log.writeInfo('A call brought no answer.', {
+    log.writeInfo('A call got no usable answer.', {
       request: this.request.requestId,
       content: this.request.content,
       endpoint: endpoint.instanceId,
@@ -215,10 +220,10 @@
   }
 
   /**
-   * Finds out whether the endpoint of a lost call ended under it. Only a call
-   * whose content did so before waits for that.
+   * Checks whether the endpoint of a lost call exited. Only a call whose
+   * content has crashed endpoints before waits for the result.
    */
-  private async checkEnd(
+  private async checkEndpointExit(
     endpoint: EndpointRecord,
     result: PlainAnswerResult,
   ): Promise<void> {
@@ -231,20 +236,20 @@
       return;
     }
     if (result.kind !== 'lost' || !result.mayHaveRun) return;
-    // The send was ended by this host, as its time was over.
+    // This host aborted the send when the time limit expired.
     if (exchange.isExpired) return;
     const run = {requestId, content, endpoint};
     await lostRuns.record(run, 0, exchange.signal);
   }
 
-  /** Whether the content ended too many endpoints, here or elsewhere. */
+  /** Whether the content crashed too many endpoints, here or on other hosts. */
   private get isRefused(): boolean {
     return this.parts.crashes.isRefused(this.request.content);
   }
 
-  private isRepeatAllowed(result: PlainAnswerResult): boolean {
+  private isRetryAllowed(result: PlainAnswerResult): boolean {
     const {route} = this;
-    if (this.notRun > MAX_NOT_RUN) return false;
+    if (this.notRun > MAX_NOT_RUN_SENDS) return false;
     const isWhole = result.kind === 'whole';
     if (isWhole && result.answer.status < FAILED_STATUS) return false;
     const hasRun = isWhole || (result.kind === 'lost' && result.mayHaveRun);
@@ -252,7 +257,7 @@
     if (this.isRefused) return false;
     if (this.runs >= route.maxAttempts) return false;
     const now = this.parts.clock.getNow();
-    if (computeRemainingMs(this.request, route, now) < MIN_SEND_MS) {
+    if (computeRemainingMs(this.request, route, now) < MIN_REMAINING_MS) {
       return false;
     }
     return this.parts.retryBudgets.takeRetry(this.service);
@@ -260,32 +265,32 @@
 
   private finish(): string {
     const {exchange, content} = this.request;
-    const {last} = this;
-    const isLost = last === undefined || !('body' in last);
+    const {lastResult} = this;
+    const isLost = lastResult === undefined || !('body' in lastResult);
     if (isLost && this.isRefused) {
       const error = createRefused(content, this.mayHaveRun);
       exchange.refuse(error, false);
       this.recordRefusal(error);
       return this.mayHaveRun ? 'lost' : 'refused';
     }
-    if (last === undefined) {
-      const error = this.createNotSent();
+    if (lastResult === undefined) {
+      const error = this.createNotSentError();
       exchange.refuse(error, false);
       this.recordRefusal(error);
       return 'refused';
     }
-    if ('body' in last) {
-      exchange.sendAnswer(last);
-      return last.status >= FAILED_STATUS ? 'failed' : 'answered';
+    if ('body' in lastResult) {
+      exchange.sendAnswer(lastResult);
+      return lastResult.status >= FAILED_STATUS ? 'failed' : 'answered';
     }
-    exchange.refuse(last, false);
-    this.recordRefusal(last);
+    exchange.refuse(lastResult, false);
+    this.recordRefusal(lastResult);
     return 'lost';
   }
 
-  private createNotSent(): KnownError {
+  private createNotSentError(): KnownError {
     const {content} = this.request;
-    if (this.isBusy) return createBusy(content, this.parts.random);
+    if (this.isContentBusy) return createBusy(content, this.parts.random);
     return this.holds.createError(this.service);
   }
 
@@ -300,7 +305,7 @@
   }
 
   private recordRefusal(error: KnownError): void {
-    this.parts.log.writeInfo('A call was not answered.', {
+    this.parts.log.writeInfo('A call ended with an error.', {
       request: this.request.requestId,
       service: this.service,
       kind: error.kind,
@@ -311,5 +316,5 @@
   }
 }
 
-/** A send with less time than this would bring nothing, in ms. */
-const MIN_SEND_MS = 30;
+/** A retry with less time left than this would not be answered, in ms. */
+const MIN_REMAINING_MS = 30;
--- a/packages/gateway/src/serving/caller_exchange.ts
+++ b/packages/gateway/src/serving/caller_exchange.ts
@@ -1,21 +1,21 @@
 /**
- * One request of a caller and its answer: the head as typed terms, the body,
- * the moment at which the caller left, and the one final answer.
+ * One HTTP exchange with a caller: headers and body of the request, its time
+ * limit, the caller's disconnection, and the single final answer.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {KnownError} from '@irisdock/kernel';
 import {formatRawHeaders, readHeaderLines} from '../channels/header_lines.js';
 import type {HeaderLines, RequestTerms} from '../model/request_terms.js';
 
-/** The header that says what is known of a request that was not answered. */
+/** The header that states whether a request without an answer may have run. */
 const OUTCOME_HEADER = 'X-Irisdock-Outcome';
 
-/** A whole answer of an endpoint. */
+/** A complete answer of an endpoint that is not an event stream. */
 export interface PlainAnswer {
   readonly status: number;
   readonly lines: HeaderLines;
   readonly body: Buffer;
-  /** Whether its body had a length or chunks, and not just an end. */
+  /** Whether the body had a Content-Length or was chunked. */
   readonly isFramed: boolean;
 }
 
@@ -25,12 +25,12 @@
 /** One exchange with a caller. */
 export class CallerExchange {
   readonly lines: HeaderLines;
-  /** Aborted when the caller leaves or the time of the request is over. */
+  /** Aborted when the caller disconnects or the time limit expires. */
   readonly signal: AbortSignal;
   private readonly controller = new AbortController();
   private expired = false;
   private timer: NodeJS.Timeout | undefined;
-  private isFinal = false;
+  private hasFinalAnswer = false;
 
   constructor(
     private readonly message: IncomingMessage,
@@ -52,32 +52,32 @@
     return this.message.method ?? 'GET';
   }
 
-  /** Path with query, as it was sent. */
+  /** Path and query as the caller sent them. */
   get path(): string {
     return this.message.url ?? '/';
   }
 
-  /** The host that the caller named. */
+  /** The value of the Host header; empty if there is none. */
   get hostHeader(): string {
     return this.message.headers.host ?? '';
   }
 
-  /** Whether the caller left before its answer was whole. */
+  /** Whether the caller disconnected before its answer was complete. */
   hasDisconnected(): boolean {
     return this.response.destroyed && !this.response.writableFinished;
   }
 
-  /** Whether the time of the request is over. */
+  /** Whether the time limit of the request has expired. */
   get isExpired(): boolean {
     return this.expired;
   }
 
-  /** Whether any byte of an answer was sent. */
+  /** Whether the headers of an answer were sent. */
   get isAnswered(): boolean {
     return this.response.headersSent;
   }
 
-  /** Ends the request when its time is over. */
+  /** Aborts the request after this time. */
   setTimeLimit(ms: number): void {
     this.timer = setTimeout(
       () => {
@@ -88,7 +88,7 @@
     );
   }
 
-  /** Reads the whole body. */
+  /** Reads the whole body of the request. */
   async readBody(maxBytes: number): Promise<Buffer | BodyFault> {
     const {message} = this;
     if (Number(message.headers['content-length'] ?? 0) > maxBytes) {
@@ -111,14 +111,14 @@
     });
   }
 
-  /** Sends a whole answer of an endpoint. */
+  /** Sends a complete answer of an endpoint. */
   sendAnswer(answer: PlainAnswer): void {
     if (!this.takeFinal()) return;
     const {status, lines, body, isFramed} = answer;
     const raw = formatRawHeaders(lines);
     const isBodiless = status === 204 || status === 304;
-    // A body that only ended with its connection may have been cut, so it is
-    // passed on without a length too.
+    // A body delimited only by the end of its connection may be truncated, so
+    // it is passed on without a length as well.
     if (!isFramed) this.response.useChunkedEncodingByDefault = false;
     else if (!isBodiless) raw.push('Content-Length', String(body.length));
     this.response.writeHead(status, raw);
@@ -130,12 +130,12 @@
     this.response.writeHead(status, formatRawHeaders(lines));
   }
 
-  /** Sends a part of a stream; false when the caller does not keep up. */
+  /** Sends a part of a stream; false when the write buffer is full. */
   writeStream(bytes: Buffer): boolean {
     return this.response.write(bytes);
   }
 
-  /** Resolves when the caller takes more, or the request has ended. */
+  /** Resolves when the write buffer is drained or the request was aborted. */
   async waitForDrain(): Promise<void> {
     await new Promise<void>((resolve) => {
       const finish = (): void => {
@@ -149,18 +149,22 @@
     });
   }
 
-  /** Ends a stream as whole. */
+  /** Ends a stream as complete. */
   endStream(): void {
     if (this.takeFinal()) this.response.end();
   }
 
-  /** Ends a stream so that it does not look whole. */
+  /** Ends a stream so that the caller sees it as incomplete. */
   failStream(): void {
     if (this.takeFinal()) this.response.destroy();
   }
 
-  /** Answers with an error. */
-  refuse(error: KnownError, closes: boolean): void {
+  /**
+   * Answers with an error.
+   *
+   * @param mustClose Whether to close the connection after the answer.
+   */
+  refuse(error: KnownError, mustClose: boolean): void {
     if (!this.takeFinal()) return;
     const {kind, message, remedy, outcome, retryAfterSeconds} = error;
     const body = Buffer.from(
@@ -174,8 +178,8 @@
     if (retryAfterSeconds !== undefined) {
       headers['Retry-After'] = String(retryAfterSeconds);
     }
-    // What is left of an unread body must not be taken for a request.
-    if (closes || !this.message.complete) headers['Connection'] = 'close';
+    // The rest of an unread body must not be parsed as the next request.
+    if (mustClose || !this.message.complete) headers['Connection'] = 'close';
     this.response.writeHead(error.status, headers);
     this.response.end(body);
     if (!this.message.complete) this.message.resume();
@@ -189,21 +193,21 @@
   }
 
   private takeFinal(): boolean {
-    if (this.isFinal || this.response.destroyed) return false;
-    this.isFinal = true;
+    if (this.hasFinalAnswer || this.response.destroyed) return false;
+    this.hasFinalAnswer = true;
     return true;
   }
 }
 
-/** A request that passed the checks and is to be sent on. */
+/** A request that passed validation and may be sent to endpoints. */
 export interface AdmittedRequest {
   readonly exchange: CallerExchange;
   readonly requestId: string;
   readonly terms: RequestTerms;
   readonly team: string | undefined;
   readonly body: Buffer;
-  /** The name of its content, the same for each try of its caller. */
+  /** The hash of its content, the same for each retry of its caller. */
   readonly content: string;
-  /** When the caller stops waiting, on the monotonic clock; may be Infinity. */
+  /** When the caller stops waiting, on the monotonic clock, or Infinity. */
   readonly callerDeadline: number;
 }
--- a/packages/gateway/src/serving/crash_records.ts
+++ b/packages/gateway/src/serving/crash_records.ts
@@ -1,6 +1,7 @@
 /**
- * What this host knows of contents that end the endpoints which run them, by its
- * own runs and by what other hosts tell. docs/design/crashing_requests.md.
+ * Records the request contents that crash the endpoints that run them, from
+ * this host's own runs and from reports of other hosts. See
+ * docs/design/crashing_requests.md.
  */
 import type {
   ContentVerdict,
@@ -11,23 +12,24 @@
 import type {Clock, Logger} from '@irisdock/kernel';
 import {formatCrashKey, isCrash} from '../model/crash_row.js';
 
-/** Tells other hosts, and keeps what must last. */
+/** Publishes crashes to other hosts, and stores them. */
 export interface CrashPublisher {
   /**
-   * Tells all hosts of a crash that this host saw.
+   * Publishes a crash that this host observed to all hosts.
    *
-   * @param isUrgent Whether it is not to be gathered with others.
+   * @param isUrgent Whether to send it at once rather than batch it with
+   *     others.
    */
   publishCrash(crash: Crash, isUrgent: boolean): void;
-  /** Tells all hosts that a content ends nothing. */
+  /** Publishes to all hosts that a content crashes no endpoints. */
   publishCleared(content: string): void;
-  /** Keeps crashes where they last when all hosts are lost. */
+  /** Stores crashes so that they outlast the loss of all hosts. */
   saveCrashes(crashes: readonly Crash[]): void;
-  /** Forgets what was kept of a content. */
+  /** Deletes the stored crashes of a content. */
   deleteCrashes(content: string): void;
 }
 
-/** What the records work with. */
+/** Dependencies of the records. */
 export interface CrashRecordsParts {
   readonly ledger: CrashLedger;
   readonly clock: Clock;
@@ -35,40 +37,40 @@
 }
 
 /**
- * From so many crashes on they are kept in the store. A sound request is hit by
- * one now and then, and by two hardly ever, so that calls to the store are rare;
- * what is lost with all hosts at once is one crash of a content.
+ * The crashes of a content are stored once there are this many. A harmless
+ * request meets one crash now and then but hardly ever two, so writes to the
+ * store are rare. If all hosts are lost at once, one crash per content is lost.
  */
-const SAVED_FROM = 2;
+const MIN_STORED_CRASHES = 2;
 
-/** Forgotten crashes that are remembered as such; the oldest give way. */
-const MAX_FORGOTTEN = 2000;
+/** How many cleared crashes are remembered; the oldest are evicted first. */
+const MAX_CLEARED_CRASHES = 2000;
 
-/** The records. */
+/** Records the crashes of request contents. */
 export class CrashRecords {
-  /** Set by the service that reaches the other hosts and the store. */
+  /** Set by the service that connects to the other hosts and the store. */
   publisher: CrashPublisher | undefined;
-  /** Contents of which this host saw a crash itself. */
-  private readonly seenHere = new Set<string>();
+  /** Contents of which this host observed a crash itself. */
+  private readonly observedContents = new Set<string>();
   /**
-   * Crashes that were forgotten, by their keys: word of them that is still under
-   * way, or a row that is read later, must not bring them back.
+   * Keys of cleared crashes. A report that is still in transit, or a stored row
+   * that is read later, must not restore them.
    */
-  private readonly forgotten = new Set<string>();
+  private readonly clearedKeys = new Set<string>();
 
   constructor(private readonly parts: CrashRecordsParts) {}
 
-  /** Says what is done with a content. */
+  /** Returns how requests with a content are handled. */
   getVerdict(content: string): ContentVerdict {
     return this.parts.ledger.decide(content);
   }
 
-  /** Whether a content ended too many endpoints, here or elsewhere. */
+  /** Whether a content crashed too many endpoints, here or on other hosts. */
   isRefused(content: string): boolean {
     return this.getVerdict(content) === 'refused';
   }
 
-  /** Gives the number of crashes of a content. */
+  /** Counts the crashes of a content. */
   countCrashes(content: string): number {
     return this.parts.ledger.countCrashes(content);
   }
@@ -78,39 +80,39 @@
     return this.parts.ledger.listCrashes(content);
   }
 
-  /** Whether any crash is remembered. */
+  /** Whether any crash is recorded. */
   get hasCrashes(): boolean {
     return this.parts.ledger.size > 0;
   }
 
-  /** Whether a start of an endpoint is known to have ended under a content. */
+  /** Whether an endpoint instance is known to have crashed under a content. */
   hasCrashed(instanceId: string): boolean {
     return this.parts.ledger.hasCrashed(instanceId);
   }
 
-  /** Lists what is remembered. */
+  /** Lists the contents with recorded crashes. */
   listContents(): KnownContent[] {
     return this.parts.ledger.listContents();
   }
 
-  /** Takes it that an endpoint ended under a run of this host. */
+  /** Records that an endpoint crashed under a run of this host. */
   recordCrash(crash: Crash): void {
-    this.seenHere.add(crash.content);
+    this.observedContents.add(crash.content);
     if (!this.add(crash)) return;
-    // The caller may come to another host as soon as it has its answer.
-    const isUrgent = this.countCrashes(crash.content) >= SAVED_FROM;
+    // The caller may retry at another host as soon as it has its answer.
+    const isUrgent = this.countCrashes(crash.content) >= MIN_STORED_CRASHES;
     this.publisher?.publishCrash(crash, isUrgent);
   }
 
-  /** Takes it that a content was run to its end. */
+  /** Clears a content that was run to its end. */
   recordCompletion(content: string): void {
     if (this.countCrashes(content) === 0) return;
     this.dropContent(content, 'it was run to its end');
   }
 
-  /** Forgets a content, here and everywhere. */
+  /** Deletes the crashes of a content on all hosts and in the store. */
   dropContent(content: string, reason: string): void {
-    this.parts.log.writeInfo('The crashes of a content are forgotten.', {
+    this.parts.log.writeInfo('Cleared the crashes of a content.', {
       content,
       crashes: this.countCrashes(content),
       reason,
@@ -120,58 +122,61 @@
     this.publisher?.deleteCrashes(content);
   }
 
-  /** Takes crashes that another host or the store told. */
+  /** Adds crashes that another host reported or the store contains. */
   acceptCrashes(crashes: readonly Crash[]): void {
     for (const crash of crashes) {
       if (isCrash(crash)) this.add(crash);
     }
   }
 
-  /** Takes it that the store has no row of a crash any more. */
+  /** Drops a crash whose row was deleted from the store. */
   dropCrash(crash: Crash): void {
     this.parts.ledger.dropCrash(crash);
   }
 
-  /** Takes it that another host forgot a content. */
+  /** Drops a content that another host cleared. */
   acceptCleared(content: string): void {
     this.drop(content);
   }
 
-  /** Forgets contents without a crash for long. */
+  /** Drops contents whose last crash is too long ago. */
   dropExpired(): void {
     const {ledger, clock} = this.parts;
     for (const content of ledger.dropExpired(clock.getNow())) {
-      this.seenHere.delete(content);
+      this.observedContents.delete(content);
     }
   }
 
   private drop(content: string): void {
     for (const crash of this.parts.ledger.listCrashes(content)) {
-      this.forgotten.add(formatCrashKey(crash));
-      const [oldest = ''] = this.forgotten;
-      if (this.forgotten.size > MAX_FORGOTTEN) this.forgotten.delete(oldest);
+      this.clearedKeys.add(formatCrashKey(crash));
+      const [oldest = ''] = this.clearedKeys;
+      if (this.clearedKeys.size > MAX_CLEARED_CRASHES) {
+        this.clearedKeys.delete(oldest);
+      }
     }
     this.parts.ledger.drop(content);
-    this.seenHere.delete(content);
+    this.observedContents.delete(content);
   }
 
   private add(crash: Crash): boolean {
     const {ledger, clock, log} = this.parts;
     const {content} = crash;
-    if (this.forgotten.has(formatCrashKey(crash))) return false;
+    if (this.clearedKeys.has(formatCrashKey(crash))) return false;
     const before = ledger.decide(content);
     if (!ledger.add(crash, clock.getNow())) return false;
     const verdict = ledger.decide(content);
     if (verdict !== before) {
-      log.writeInfo('What is done with a content has changed.', {
+      log.writeInfo('The verdict on a content changed.', {
         content,
         verdict,
         crashes: ledger.countCrashes(content),
       });
     }
-    // Who saw one keeps all: the host that saw another may be lost by now.
-    const isKept = ledger.countCrashes(content) >= SAVED_FROM;
-    if (isKept && this.seenHere.has(content)) {
+    // A host that observed one crash stores all of them, as the hosts that
+    // observed the others may be lost by now.
+    const isStored = ledger.countCrashes(content) >= MIN_STORED_CRASHES;
+    if (isStored && this.observedContents.has(content)) {
       this.publisher?.saveCrashes(ledger.listCrashes(content));
     }
     return true;
--- a/packages/gateway/src/serving/endpoint_exit_check.ts
+++ b/packages/gateway/src/serving/endpoint_exit_check.ts
@@ -1,8 +1,8 @@
 /**
- * Whether an endpoint has ended, asked when a run there was lost. A run is lost
- * with its endpoint, or by a connection that was reset or a link that was cut;
- * a whole failure domain may be lost at once. Only an address that refuses
- * connections says that the process there has ended.
+ * Checks whether an endpoint exited after a run on it was lost. A run is lost
+ * when its endpoint exits, its connection is reset, a network link fails, or
+ * its whole failure domain is lost. Only an address that refuses connections
+ * proves that the process there has exited.
  */
 import {getSample, type Logger, type Random} from '@irisdock/kernel';
 import type {EndpointClient} from '../channels/endpoint_client.js';
@@ -10,32 +10,32 @@
 import type {CrashRecords} from './crash_records.js';
 import type {EndpointRecord} from './endpoint_record.js';
 
-/** What became of an endpoint. */
+/** The result of an exit check. */
 export type EndpointExitState =
-  /** It answers: only the connection was lost. */
+  /** The endpoint answers; only the connection was lost. */
   | 'answers'
-  /** It has ended, and not all others of its failure domain have. */
+  /** The endpoint exited, and its failure domain did not. */
   | 'ended'
-  /** It has ended together with others of its failure domain. */
+  /** The endpoint exited together with others of its failure domain. */
   | 'ended-with-domain'
-  /** Nothing was heard. */
+  /** The endpoint neither answered nor refused the connection. */
   | 'unknown';
 
-/** How long an endpoint may take to answer, in ms; one that runs takes a few. */
-const ANSWER_MS = 200;
+/** The timeout of a probe, in ms; a running endpoint takes a few ms. */
+const PROBE_TIMEOUT_MS = 200;
 /**
- * Others of the failure domain that are asked. Where nine in ten are lost at
- * once, both have ended in four of five cases; one that is lost for a reason of
- * its own is next to two such in one of a hundred.
+ * How many other endpoints of the failure domain are probed. When nine in ten
+ * are lost at once, both have exited in four of five cases. An endpoint that
+ * exits for its own reason has two such neighbors in one of a hundred cases.
  */
-const ASKED_NEIGHBORS = 2;
+const PROBED_NEIGHBORS = 2;
 /**
- * A kept connection to an endpoint that has ended may not have been closed yet
- * by this side; the next try opens a new one.
+ * A probe may use a kept-alive connection to an exited endpoint that this side
+ * has not closed yet; the next attempt opens a new connection.
  */
-const MAX_TRIES = 4;
+const MAX_PROBE_ATTEMPTS = 4;
 
-/** What the check works with. */
+/** Dependencies of the check. */
 export interface EndpointExitCheckParts {
   readonly client: Pick<EndpointClient, 'admit' | 'send'>;
   readonly reportPath: string;
@@ -45,22 +45,22 @@
   readonly log: Logger;
 }
 
-/** Asks endpoints whether they have ended; those that wait share a question. */
+/** Checks whether endpoints exited; concurrent checks of one share a probe. */
 export class EndpointExitCheck {
-  private readonly asked = new Map<string, Promise<EndpointExitState>>();
+  private readonly pending = new Map<string, Promise<EndpointExitState>>();
 
   constructor(private readonly parts: EndpointExitCheckParts) {}
 
-  /** Finds out what became of an endpoint under whose run a connection was lost. */
+  /** Checks an endpoint on which a run was lost. */
   async check(endpoint: EndpointRecord): Promise<EndpointExitState> {
     const {instanceId} = endpoint;
-    const asked = this.asked.get(instanceId);
-    if (asked !== undefined) return asked;
-    const question = this.checkOnce(endpoint).finally(() => {
-      this.asked.delete(instanceId);
+    const pending = this.pending.get(instanceId);
+    if (pending !== undefined) return pending;
+    const check = this.checkOnce(endpoint).finally(() => {
+      this.pending.delete(instanceId);
     });
-    this.asked.set(instanceId, question);
-    return question;
+    this.pending.set(instanceId, check);
+    return check;
   }
 
   private async checkOnce(
@@ -69,23 +69,25 @@
     const state = await this.probe(endpoint);
     if (state !== 'ended') return state;
     const {neighbors, hasCrashed} = this.chooseNeighbors(endpoint);
-    const states = await Promise.all(neighbors.map((one) => this.probe(one)));
-    const shown = neighbors.map(({instanceId}, place) => {
+    const states = await Promise.all(
+      neighbors.map((neighbor) => this.probe(neighbor)),
+    );
+    const described = neighbors.map(({instanceId}, place) => {
       return `${instanceId} ${states[place] ?? ''}`;
     });
     this.parts.log.writeInfo('Probed the neighbors of an ended endpoint.', {
       endpoint: endpoint.instanceId,
-      neighbors: shown.join(', '),
+      neighbors: described.join(', '),
     });
-    // Where others crashed, the last one may have crashed just now as well.
-    const isTooFew = hasCrashed && states.length < ASKED_NEIGHBORS;
+    // If other endpoints crashed, a single remaining one may have just crashed.
+    const isTooFew = hasCrashed && states.length < PROBED_NEIGHBORS;
     if (states.length === 0 || isTooFew) return 'ended';
-    // A neighbor that is too busy to answer in time is no evidence of a loss.
+    // A neighbor that is too busy to answer in time does not count as lost.
     const isDomainLost = states.every((state) => state === 'ended');
     return isDomainLost ? 'ended-with-domain' : 'ended';
   }
 
-  /** Chooses whom to ask, and says whether others of the domain crashed. */
+  /** Chooses neighbors to probe, and whether others in the domain crashed. */
   private chooseNeighbors(endpoint: EndpointRecord): {
     readonly neighbors: readonly EndpointRecord[];
     readonly hasCrashed: boolean;
@@ -96,21 +98,25 @@
     for (const other of endpoints.listUsable(endpoint.entry.service)) {
       if (other === endpoint) continue;
       if (other.failureDomain !== endpoint.failureDomain) continue;
-      // It ended for a reason of its own, which says nothing of the domain.
+      // It exited for its own reason, which says nothing about the domain.
       const isCrashed = crashes.hasCrashed(other.instanceId);
       hasCrashed ||= isCrashed;
       if (!isCrashed && other.failureScore === 0) others.push(other);
     }
-    const neighbors = getSample(others, ASKED_NEIGHBORS, random);
+    const neighbors = getSample(others, PROBED_NEIGHBORS, random);
     return {neighbors, hasCrashed};
   }
 
   private async probe(
     endpoint: EndpointRecord,
   ): Promise<'answers' | 'ended' | 'unknown'> {
-    const signal = AbortSignal.timeout(ANSWER_MS);
+    const signal = AbortSignal.timeout(PROBE_TIMEOUT_MS);
     const {client} = this.parts;
-    for (let tries = 0; tries < MAX_TRIES && !signal.aborted; tries++) {
+    for (
+      let tries = 0;
+      tries < MAX_PROBE_ATTEMPTS && !signal.aborted;
+      tries++
+    ) {
       const permit = await client.admit(endpoint, 'aside');
       if (permit.kind === 'held') return 'unknown';
       const answer = await client.send({
--- a/packages/gateway/src/serving/endpoint_prober.ts
+++ b/packages/gateway/src/serving/endpoint_prober.ts
@@ -1,29 +1,29 @@
 /**
- * Asks an endpoint for its report to learn whether it answers at all. Several
- * streams that wait for the same endpoint share one question.
+ * Probes whether an endpoint answers at all, by a request for its report.
+ * Streams that wait for the same endpoint share one probe.
  */
 import type {EndpointClient} from '../channels/endpoint_client.js';
 import type {EndpointRecord} from './endpoint_record.js';
 
-/** Asks endpoints. */
+/** Probes endpoints. */
 export class EndpointProber {
-  private readonly asked = new Map<string, Promise<boolean>>();
+  private readonly pending = new Map<string, Promise<boolean>>();
 
   constructor(
     private readonly client: EndpointClient,
     private readonly reportPath: string,
   ) {}
 
-  /** Tells whether the endpoint answers in time. */
+  /** Returns whether the endpoint answers in time. */
   async probe(endpoint: EndpointRecord, timeoutMs: number): Promise<boolean> {
     const {instanceId} = endpoint;
-    const asked = this.asked.get(instanceId);
-    if (asked !== undefined) return asked;
-    const question = this.probeOnce(endpoint, timeoutMs).finally(() => {
-      this.asked.delete(instanceId);
+    const pending = this.pending.get(instanceId);
+    if (pending !== undefined) return pending;
+    const probe = this.probeOnce(endpoint, timeoutMs).finally(() => {
+      this.pending.delete(instanceId);
     });
-    this.asked.set(instanceId, question);
-    return question;
+    this.pending.set(instanceId, probe);
+    return probe;
   }
 
   private async probeOnce(
@@ -32,8 +32,9 @@
   ): Promise<boolean> {
     const signal = AbortSignal.timeout(timeoutMs);
     const permit = await this.client.admit(endpoint, 'aside');
-    // What could not be asked is not lost by that. Before requests, questions for
-    // streams that wait would take five of six permits of an engine in need.
+    // An endpoint that could not be probed does not count as lost. Probes don't
+    // go before requests: for the waiting streams of an engine at its limit
+    // they would take five of six permits.
     if (permit.kind === 'held' || signal.aborted) return true;
     const answer = await this.client.send({
       permit,
--- a/packages/gateway/src/serving/endpoint_record.ts
+++ b/packages/gateway/src/serving/endpoint_record.ts
@@ -1,101 +1,102 @@
 /**
- * What this host knows of one start of one endpoint: its entry, what runs
- * there by this host's own account and by what others told, and how it did.
+ * What this host knows of one instance of an endpoint: its entry, what runs on
+ * it by this host's own claims and by reports of others, and its failures and
+ * latencies.
  */
 import type {EngineView, PlainView} from '@irisdock/decisions';
 import type {EndpointEntry} from '../model/endpoint_entry.js';
 import type {ToldLoad} from '../model/request_terms.js';
 
-/** What one host has at an endpoint. */
+/** What one host has running on an endpoint. */
 export interface EndpointUse {
   /** Streams or calls in flight. */
   readonly running: number;
-  /** Prompt tokens that are not read yet. */
+  /** Prompt tokens that are not processed yet. */
   readonly unreadTokens: number;
-  /** Tokens that its streams and copies will take in memory. */
+  /** Expected size of the KV caches of its streams and replicas, in tokens. */
   readonly expectedTokens: number;
 }
 
-/** What a request adds to the use of an endpoint while it runs. */
+/** What a request adds to the use of an endpoint until it is released. */
 export interface UseClaim {
   running: number;
   unreadTokens: number;
   expectedTokens: number;
 }
 
-/** A failure counts half after this time, in ms. */
-const FAILURE_HALF_MS = 900;
-/** Below this a failure is forgotten. */
-const FAILURE_FORGOTTEN = 0.05;
+/** The half-life of the failure score, in ms. */
+const FAILURE_HALF_LIFE_MS = 900;
+/** A lower failure score counts as 0. */
+const MIN_FAILURE_SCORE = 0.05;
 const MAX_FAILURE_SCORE = 4;
-/** What is left of the failures after a success. */
+/** The factor by which a success reduces the failure score. */
 const SUCCESS_FACTOR = 0.5;
-/** What an endpoint's answers are taken to last before the first, in ms. */
-const FIRST_ANSWER_MS = 40;
-/** The weight of the newest answer in the usual time. */
+/** The assumed answer time before the first answer, in ms. */
+const INITIAL_ANSWER_MS = 40;
+/** The weight of the newest answer in the moving average of answer times. */
 const ANSWER_WEIGHT = 0.15;
-/** How long the load that an endpoint told counts, in ms. */
-const TOLD_LOAD_MS = 400;
+/** How long a load that the endpoint reported is valid, in ms. */
+const REPORTED_LOAD_TTL_MS = 400;
 
-/** The weight of the newest pause between events in the usual one. */
+/** The weight of the newest gap between events in the moving average. */
 const GAP_WEIGHT = 0.05;
 
-/** How long what an engine's home group told counts, in ms. */
-const HOME_USE_MS = 300;
-/** How long what another host told counts, in ms; it is told each 900 ms. */
-const TOLD_USE_MS = 2000;
+/** How long a report of an engine's home group is valid, in ms. */
+const HOME_GROUP_USE_TTL_MS = 300;
+/** How long a report of another host is valid, in ms; sent every 900 ms. */
+const PEER_USE_TTL_MS = 2000;
 
 /**
- * Why an endpoint is not used any more: its entry was withdrawn, and what runs
- * there goes on; or it started anew, and what ran there is lost.
+ * Why an endpoint was removed: its entry was withdrawn, and its current runs
+ * continue; or it restarted, and its runs are lost.
  */
 export type RemovalCause = 'restarted' | 'withdrawn';
 
 /**
- * How long what runs at an endpoint is not worked out anew while nothing changed
- * there, in ms: one choice among 200 engines asks each for it six times.
+ * How long the sum of uses is cached while nothing changes, in ms. One choice
+ * among 200 engines reads it six times for each.
  */
-const SUM_KNOWN_MS = 5;
+const SUM_CACHE_MS = 5;
 
 const NO_USE: EndpointUse = {running: 0, unreadTokens: 0, expectedTokens: 0};
 
-interface KnownSum {
+interface CachedSum {
   readonly use: EndpointUse;
   readonly at: number;
 }
 
-interface ToldUse {
+interface ReportedUse {
   readonly use: EndpointUse;
-  readonly toldAt: number;
+  readonly reportedAt: number;
 }
 
-/** One endpoint. */
+/** The record of one endpoint instance. */
 export class EndpointRecord implements EngineView, PlainView {
-  /** Whether a roll-out keeps usual requests from it. */
+  /** Whether a rollout keeps usual requests away from it. */
   isExcludedByRollout = false;
-  private goneCause: RemovalCause | undefined;
-  private readonly goneListeners = new Set<(cause: RemovalCause) => void>();
+  private removalCause: RemovalCause | undefined;
+  private readonly removalListeners = new Set<(cause: RemovalCause) => void>();
   private readonly claims = new Set<UseClaim>();
-  private readonly othersUse = new Map<string, ToldUse>();
-  private homeUse: ToldUse | undefined;
-  private sum: KnownSum | undefined;
+  private readonly peerUse = new Map<string, ReportedUse>();
+  private homeGroupUse: ReportedUse | undefined;
+  private sum: CachedSum | undefined;
   private failures = 0;
   private failedAt = 0;
-  private usualAnswerMs = FIRST_ANSWER_MS;
-  private gapMs = 0;
-  private toldLoad: ToldLoad | undefined;
-  private toldAt = -Infinity;
+  private meanAnswerMs = INITIAL_ANSWER_MS;
+  private meanGapMs = 0;
+  private reportedLoad: ToldLoad | undefined;
+  private loadReportedAt = -Infinity;
 
   constructor(
     public entry: EndpointEntry,
-    /** Gives the memory that the service declares; it may change. */
+    /** Returns the KV cache size that the service declares; it may change. */
     private readonly getMemoryTokens: () => number,
     private readonly getNow: () => number,
   ) {}
 
-  /** Whether it is not to be used any more. */
+  /** Whether the endpoint was removed and must not be used any more. */
   get isRemoved(): boolean {
-    return this.goneCause !== undefined;
+    return this.removalCause !== undefined;
   }
 
   get endpointId(): string {
@@ -122,23 +123,23 @@
     return this.entry.slots;
   }
 
-  /** Whether it takes work. */
+  /** Whether the endpoint accepts requests. */
   get isReady(): boolean {
     return !this.isRemoved && this.entry.state === 'ready';
   }
 
-  /** Whether it may get usual requests. */
+  /** Whether the endpoint may get usual requests, other than rollout trials. */
   get isUsable(): boolean {
     return this.isReady && !this.isExcludedByRollout;
   }
 
   get answerMs(): number {
-    return this.usualAnswerMs;
+    return this.meanAnswerMs;
   }
 
-  /** The pause between events of its streams of late, in ms; 0 if unknown. */
+  /** The recent mean gap between events of its streams, in ms; 0 if unknown. */
   get usualGapMs(): number {
-    return this.gapMs;
+    return this.meanGapMs;
   }
 
   get streams(): number {
@@ -147,9 +148,14 @@
 
   get calls(): number {
     const counted = this.getUse().running;
-    if (this.getNow() - this.toldAt > TOLD_LOAD_MS) return counted;
-    const told = this.toldLoad;
-    return Math.max(counted, (told?.running ?? 0) + (told?.waiting ?? 0));
+    if (this.getNow() - this.loadReportedAt > REPORTED_LOAD_TTL_MS) {
+      return counted;
+    }
+    const reported = this.reportedLoad;
+    return Math.max(
+      counted,
+      (reported?.running ?? 0) + (reported?.waiting ?? 0),
+    );
   }
 
   get unreadTokens(): number {
@@ -162,105 +168,105 @@
 
   get failureScore(): number {
     const age = this.getNow() - this.failedAt;
-    const score = this.failures * 0.5 ** (age / FAILURE_HALF_MS);
-    return score < FAILURE_FORGOTTEN ? 0 : score;
+    const score = this.failures * 0.5 ** (age / FAILURE_HALF_LIFE_MS);
+    return score < MIN_FAILURE_SCORE ? 0 : score;
   }
 
-  /** Takes it that it is not to be used any more. */
+  /** Marks the endpoint as removed. */
   markRemoved(cause: RemovalCause): void {
-    this.goneCause = cause;
-    const listeners = [...this.goneListeners];
-    this.goneListeners.clear();
+    this.removalCause = cause;
+    const listeners = [...this.removalListeners];
+    this.removalListeners.clear();
     for (const listener of listeners) listener(cause);
   }
 
   /**
-   * Calls a listener once when it is gone, or now if it is.
+   * Calls a listener once when the endpoint is removed, or now if it was.
    *
-   * @returns Ends the watch.
+   * @returns A function that ends the watch.
    */
   watchRemoval(listener: (cause: RemovalCause) => void): () => void {
-    if (this.goneCause === undefined) this.goneListeners.add(listener);
-    else listener(this.goneCause);
-    return () => this.goneListeners.delete(listener);
+    if (this.removalCause === undefined) this.removalListeners.add(listener);
+    else listener(this.removalCause);
+    return () => this.removalListeners.delete(listener);
   }
 
-  /** Gives what this host alone has there. */
+  /** Returns what this host alone has running there. */
   getOwnUse(): EndpointUse {
     return computeUse(this.claims);
   }
 
-  /** Counts a request there until the claim is dropped. */
+  /** Counts a request there until its claim is released. */
   addClaim(claim: UseClaim): void {
     this.claims.add(claim);
     this.sum = undefined;
   }
 
-  /** Takes it that the prompt of a claim was read. */
+  /** Marks the prompt of a claim as processed. */
   markPromptRead(claim: UseClaim): void {
     claim.unreadTokens = 0;
     this.sum = undefined;
   }
 
-  /** Ends a claim. */
+  /** Releases a claim. */
   releaseClaim(claim: UseClaim): void {
     this.claims.delete(claim);
     this.sum = undefined;
   }
 
-  /** Takes what another host told that it has there. */
+  /** Sets what another host reported to have there; undefined for nothing. */
   setPeerUse(host: string, use: EndpointUse | undefined): void {
-    if (use === undefined) this.othersUse.delete(host);
-    else this.othersUse.set(host, {use, toldAt: this.getNow()});
+    if (use === undefined) this.peerUse.delete(host);
+    else this.peerUse.set(host, {use, reportedAt: this.getNow()});
     this.sum = undefined;
   }
 
-  /** Takes what the home group of an engine of another group told. */
+  /** Sets what the home group of a remote engine reported. */
   setHomeGroupUse(use: EndpointUse, failures: number): void {
-    this.homeUse = {use, toldAt: this.getNow()};
+    this.homeGroupUse = {use, reportedAt: this.getNow()};
     this.sum = undefined;
     if (failures <= this.failureScore) return;
     this.failures = failures;
     this.failedAt = this.getNow();
   }
 
-  /** Gives what runs there, but for what one other host has there. */
+  /** Returns what runs there, except for the runs of one other host. */
   getUseExcept(host: string): EndpointUse {
     return this.computeSum(this.getNow(), host);
   }
 
-  /** Takes the load that the endpoint told. */
+  /** Records the load that the endpoint reported. */
   recordLoad(load: ToldLoad): void {
-    this.toldLoad = load;
-    this.toldAt = this.getNow();
+    this.reportedLoad = load;
+    this.loadReportedAt = this.getNow();
   }
 
-  /** Takes the pause between two events of a stream there, in ms. */
+  /** Records the gap between two events of a stream there, in ms. */
   recordGap(gapMs: number): void {
-    this.gapMs += GAP_WEIGHT * (gapMs - this.gapMs);
+    this.meanGapMs += GAP_WEIGHT * (gapMs - this.meanGapMs);
   }
 
-  /** Takes an answer that can be used. */
+  /** Records a usable answer; `answerMs` is undefined for streams. */
   recordSuccess(answerMs: number | undefined): void {
     this.failures = this.failureScore * SUCCESS_FACTOR;
     this.failedAt = this.getNow();
     if (answerMs === undefined) return;
-    this.usualAnswerMs += ANSWER_WEIGHT * (answerMs - this.usualAnswerMs);
+    this.meanAnswerMs += ANSWER_WEIGHT * (answerMs - this.meanAnswerMs);
   }
 
-  /** Takes a failure; `weight` 1 is a lost connection. */
+  /** Records a failure; `weight` is 1 for a lost connection. */
   recordFailure(weight: number): void {
     this.failures = Math.min(MAX_FAILURE_SCORE, this.failureScore + weight);
     this.failedAt = this.getNow();
   }
 
-  /** Gives what runs there; mostly nothing does, and nothing is worked out. */
+  /** Returns what runs there; computes nothing in the usual case of no use. */
   private getUse(): EndpointUse {
-    const isIdle = this.claims.size === 0 && this.othersUse.size === 0;
-    if (isIdle && this.homeUse === undefined) return NO_USE;
+    const isIdle = this.claims.size === 0 && this.peerUse.size === 0;
+    if (isIdle && this.homeGroupUse === undefined) return NO_USE;
     const now = this.getNow();
     const {sum} = this;
-    if (sum !== undefined && now - sum.at < SUM_KNOWN_MS) return sum.use;
+    if (sum !== undefined && now - sum.at < SUM_CACHE_MS) return sum.use;
     const use = this.computeSum(now, undefined);
     this.sum = {use, at: now};
     return use;
@@ -268,13 +274,16 @@
 
   private computeSum(now: number, exceptHost: string | undefined): EndpointUse {
     const uses: EndpointUse[] = [...this.claims];
-    // The home group's word holds what its hosts told singly.
-    if (this.homeUse !== undefined && now - this.homeUse.toldAt < HOME_USE_MS) {
-      return computeUse([...uses, this.homeUse.use]);
+    // The report of the home group includes what its hosts report individually.
+    if (
+      this.homeGroupUse !== undefined &&
+      now - this.homeGroupUse.reportedAt < HOME_GROUP_USE_TTL_MS
+    ) {
+      return computeUse([...uses, this.homeGroupUse.use]);
     }
-    this.homeUse = undefined;
-    for (const [host, {use, toldAt}] of this.othersUse) {
-      if (host === exceptHost || now - toldAt > TOLD_USE_MS) continue;
+    this.homeGroupUse = undefined;
+    for (const [host, {use, reportedAt}] of this.peerUse) {
+      if (host === exceptHost || now - reportedAt > PEER_USE_TTL_MS) continue;
       uses.push(use);
     }
     return computeUse(uses);
--- a/packages/gateway/src/serving/engine_client.ts
+++ b/packages/gateway/src/serving/engine_client.ts
@@ -1,26 +1,26 @@
 /**
- * Short calls to engines about what they keep and run: one answer, read whole,
- * within a bound of time.
+ * Makes short management calls to engines, such as copies of KV caches or
+ * reports. Each has one answer, read whole within a timeout.
  */
 import type {EndpointClient} from '../channels/endpoint_client.js';
 import type {EngineCall} from '../model/request_terms.js';
 import type {SendTarget} from './send_gate.js';
 import {readAnswerBody} from './answer_body.js';
 
-/** What an engine answered. */
+/** The answer of an engine. */
 export interface EngineAnswer {
   readonly status: number;
   readonly body: string;
 }
 
-/** Makes short calls to engines. */
+/** Makes short management calls to engines. */
 export class EngineClient {
   constructor(private readonly client: EndpointClient) {}
 
   /**
-   * Makes a call; undefined when no whole answer came in time.
+   * Makes a call; undefined when no complete answer arrived in time.
    *
-   * @param timeoutMs The bound on the whole call, in ms.
+   * @param timeoutMs The timeout of the whole call, in ms.
    */
   async send(
     target: SendTarget,
@@ -35,7 +35,7 @@
       requestId: undefined,
       method: call.method,
       path: call.path,
-      lines: createLines(target.address, call),
+      lines: createHeaderLines(target.address, call),
       body: Buffer.from(call.body),
       signal,
     });
@@ -46,7 +46,7 @@
   }
 }
 
-function createLines(
+function createHeaderLines(
   address: string,
   call: EngineCall,
 ): (readonly [string, string])[] {
--- a/packages/gateway/src/serving/kv_cache_replicator.ts
+++ b/packages/gateway/src/serving/kv_cache_replicator.ts
@@ -1,8 +1,8 @@
 /**
- * Keeps a copy of a running stream's memory on another engine for as long as
- * the stream runs. The engine itself keeps one on the standby that was named
- * when the stream was sent; when that standby is gone, the memory is copied to
- * another one by request, and again every while for what is new.
+ * Maintains a replica of a running stream's KV cache on another engine. The
+ * engine itself replicates to the standby that was named when the stream was
+ * sent. If there is no standby or it is removed, this class requests copies to
+ * another engine, repeatedly so that the replica stays up to date.
  */
 import {chooseBackup, type EngineRequest} from '@irisdock/decisions';
 import type {EngineCall, MemorySource} from '../model/request_terms.js';
@@ -11,30 +11,30 @@
 import {listLiveEndpoints} from './live_endpoints.js';
 import {getRandomFraction, type ServingParts} from './serving_parts.js';
 
-/** Where a copy is kept, and the name under which it is found there. */
+/** A replica: the engine that holds it, and its source and name. */
 export interface KvCacheReplica {
   readonly source: MemorySource;
   readonly holder: EndpointRecord;
 }
 
 /**
- * How long a copy that is missing waits at most, in ms. The streams of an engine
- * lose their standby at the same moment, and each draws its own wait.
+ * The longest delay until a missing replica is replaced, in ms. The streams of
+ * an engine lose their standby at the same moment, so each draws its own delay.
  */
-const CHECK_MS = 200;
-/** Copies lapse after some 4 s and are renewed well before, in ms. */
-const RENEW_MS = 2000;
-/** A copy of a long prompt moves 1.3 GB over a slow link, in ms. */
+const MAX_REPLACEMENT_DELAY_MS = 200;
+/** Time between renewals, in ms. Engines drop copies after about 4 s. */
+const RENEWAL_INTERVAL_MS = 2000;
+/** The timeout of a copy, in ms; a long prompt is 1.3 GB over a slow link. */
 const COPY_TIMEOUT_MS = 1500;
-/** Failed copies after which no more are asked for. */
-const MAX_FAILED = 4;
+/** How many copies may fail before no more are requested. */
+const MAX_FAILED_COPIES = 4;
 
-/** Keeps the copy of one attempt. */
+/** Maintains the KV cache replica of one attempt. */
 export class KvCacheReplicator {
-  private copy: KvCacheReplica | undefined;
+  private replica: KvCacheReplica | undefined;
   private timer: NodeJS.Timeout | undefined;
-  private ignoreGone: (() => void) | undefined;
-  private failed = 0;
+  private stopWatching: (() => void) | undefined;
+  private failedCopies = 0;
   private isStarted = false;
   private isCopying = false;
   private stopped = false;
@@ -47,61 +47,70 @@
     private readonly engineRequest: EngineRequest,
   ) {}
 
-  /** Takes it that the stream has begun; from now on there is a copy. */
+  /** Starts replication; called when the first events have arrived. */
   start(): void {
     if (this.isStarted || this.stopped) return;
     this.isStarted = true;
     const {standby, primary, requestId} = this;
     if (standby === undefined) {
-      this.plan(CHECK_MS);
+      this.plan(MAX_REPLACEMENT_DELAY_MS);
       return;
     }
     const source = {address: primary.address, name: requestId};
-    this.keep({source, holder: standby});
+    this.setReplica({source, holder: standby});
   }
 
-  /** Gives where a copy is kept; undefined when there is none. */
+  /** Returns the current replica; undefined when there is none. */
   findReplica(): KvCacheReplica | undefined {
-    return this.copy;
+    return this.replica;
   }
 
-  /** Ends; a copy that was asked for is freed when nobody goes on from it. */
+  /**
+   * Stops replication.
+   *
+   * @param isNeeded Whether the stream may resume from the replica; if not, a
+   *     replica that this class requested is dropped.
+   */
   stop(isNeeded: boolean): void {
     this.stopped = true;
     clearTimeout(this.timer);
-    this.ignoreGone?.();
-    const {copy} = this;
-    if (isNeeded || copy === undefined) return;
-    if (copy.source.name !== this.requestId) this.dropCopy(copy.source.name);
+    this.stopWatching?.();
+    const {replica} = this;
+    if (isNeeded || replica === undefined) return;
+    if (replica.source.name !== this.requestId) {
+      this.dropCopy(replica.source.name);
+    }
   }
 
-  /** Takes a copy, and looks for another place once its holder is gone. */
-  private keep(copy: KvCacheReplica): void {
-    this.copy = copy;
-    this.ignoreGone?.();
-    this.ignoreGone = copy.holder.watchRemoval(() => {
-      this.plan(CHECK_MS * getRandomFraction(this.parts.random));
+  /** Sets the replica, and plans another one for when its holder is removed. */
+  private setReplica(replica: KvCacheReplica): void {
+    this.replica = replica;
+    this.stopWatching?.();
+    this.stopWatching = replica.holder.watchRemoval(() => {
+      this.plan(
+        MAX_REPLACEMENT_DELAY_MS * getRandomFraction(this.parts.random),
+      );
     });
-    const isOwn = copy.source.name === this.requestId;
-    if (!isOwn) this.plan(RENEW_MS);
+    const isEngineMaintained = replica.source.name === this.requestId;
+    if (!isEngineMaintained) this.plan(RENEWAL_INTERVAL_MS);
   }
 
   private plan(ms: number): void {
     clearTimeout(this.timer);
-    if (this.stopped || this.failed >= MAX_FAILED) return;
-    this.timer = setTimeout(() => void this.sendAnew(), ms);
+    if (this.stopped || this.failedCopies >= MAX_FAILED_COPIES) return;
+    this.timer = setTimeout(() => void this.renewReplica(), ms);
   }
 
-  /** Copies to the holder again, or to another when there is none. */
-  private async sendAnew(): Promise<void> {
+  /** Copies to the holder again, or to another engine if it was removed. */
+  private async renewReplica(): Promise<void> {
     if (this.isCopying) return;
-    const {copy} = this;
-    const isThere = copy !== undefined && !copy.holder.isRemoved;
-    const target = isThere ? copy.holder : this.chooseTarget();
+    const {replica} = this;
+    const isHolderPresent = replica !== undefined && !replica.holder.isRemoved;
+    const target = isHolderPresent ? replica.holder : this.chooseTarget();
     this.isCopying = true;
     const isCopied = target !== undefined && (await this.sendCopy(target));
     this.isCopying = false;
-    if (!isCopied) this.plan(CHECK_MS);
+    if (!isCopied) this.plan(MAX_REPLACEMENT_DELAY_MS);
   }
 
   private chooseTarget(): EndpointRecord | undefined {
@@ -121,7 +130,7 @@
       answer === undefined
         ? undefined
         : copies.decodeCopy(answer.status, answer.body);
-    log.writeInfo('The memory of a stream was copied.', {
+    log.writeInfo('Requested a copy of the KV cache of a stream.', {
       request: this.requestId,
       from: this.primary.instanceId,
       to: target.instanceId,
@@ -129,16 +138,16 @@
       isCopied: name !== undefined,
     });
     if (name === undefined) {
-      this.failed++;
+      this.failedCopies++;
       return false;
     }
-    // Nobody goes on from a copy that was ready only after the end.
+    // Nothing resumes from a copy that was completed only after the end.
     if (this.stopped) {
       this.dropCopy(name);
       return true;
     }
 
-    this.keep({
+    this.setReplica({
       source: {address: this.primary.address, name},
       holder: target,
     });
--- a/packages/gateway/src/serving/lost_runs.ts
+++ b/packages/gateway/src/serving/lost_runs.ts
@@ -1,8 +1,8 @@
 /**
- * Runs that were lost while an endpoint had them: finds out whether the endpoint
- * ended under the run, and notes that against the request's content. An endpoint
- * that had said that it leaves, or was lost with its failure domain, ended for
- * another reason.
+ * Handles runs that were lost on an endpoint: checks whether the endpoint
+ * exited under the run and, if so, records a crash of the request's content. An
+ * endpoint that had announced that it leaves, or that was lost with its failure
+ * domain, exited for another reason.
  */
 import type {Clock, Logger} from '@irisdock/kernel';
 import type {CrashRecords} from './crash_records.js';
@@ -11,20 +11,20 @@
 import type {ServingMetrics} from './serving_metrics.js';
 
 /**
- * How long reports of other hosts on a lost endpoint may take, in ms. What ran
- * there from another host is lost at the same moment and reported a little later.
+ * How long other hosts may take to report on a lost endpoint, in ms. Their runs
+ * on it are lost at the same moment and reported a little later.
  */
 export const REPORT_WAIT_MS = 50;
 
 /** A run that was lost. */
 export interface LostRun {
   readonly requestId: string;
-  /** The name of the request's content. */
+  /** The hash of the request's content. */
   readonly content: string;
   readonly endpoint: EndpointRecord;
 }
 
-/** What the lost runs work with. */
+/** Dependencies of the lost runs. */
 export interface LostRunsParts {
   readonly exitCheck: Pick<EndpointExitCheck, 'check'>;
   readonly crashes: CrashRecords;
@@ -33,53 +33,53 @@
   readonly log: Logger;
 }
 
-/** Takes lost runs. */
+/** Checks the endpoints of lost runs. */
 export class LostRuns {
-  /** Runs whose endpoint is being checked, by content. */
+  /** The number of runs whose endpoint is being checked, by content. */
   private readonly checking = new Map<string, number>();
 
   constructor(private readonly parts: LostRunsParts) {}
 
-  /** Whether a content ended an endpoint, or perhaps did just now. */
+  /** Whether a content crashed an endpoint, or may have done so just now. */
   isSuspected(content: string): boolean {
     if (this.checking.has(content)) return true;
     return this.parts.crashes.countCrashes(content) > 0;
   }
 
   /**
-   * Takes a lost run, and waits a while until it is known what became of its
-   * endpoint. What ended an endpoint before is not sent again until that is known:
-   * on a busy host the answer takes longer. What would be refused waits for the
-   * reports of other hosts.
+   * Records a lost run and waits for the exit check of its endpoint. A content
+   * with crashes waits until the result is known, which takes longer on a busy
+   * host. A content that would be refused also waits for reports of other
+   * hosts.
    *
-   * @param mostMs How long a content that ended none is held up.
+   * @param maxWaitMs The longest wait for a content without crashes.
    */
   async record(
     run: LostRun,
-    mostMs: number,
+    maxWaitMs: number,
     signal: AbortSignal,
   ): Promise<void> {
     const {clock, crashes} = this.parts;
     const {content} = run;
-    const known = this.checkEnd(run);
-    if (crashes.countCrashes(content) > 0) await known;
-    else if (mostMs > 0) {
-      await Promise.race([known, clock.wait(mostMs, signal)]);
+    const checked = this.checkExit(run);
+    if (crashes.countCrashes(content) > 0) await checked;
+    else if (maxWaitMs > 0) {
+      await Promise.race([checked, clock.wait(maxWaitMs, signal)]);
     }
-    // A content that seems to be the cause may be cleared by what others report.
+    // Reports of other hosts may show that another content is the cause.
     if (crashes.isRefused(content)) await clock.wait(REPORT_WAIT_MS, signal);
   }
 
-  private async checkEnd(run: LostRun): Promise<void> {
+  private async checkExit(run: LostRun): Promise<void> {
     this.addChecking(run.content, 1);
     try {
-      await this.recordEnd(run);
+      await this.recordExit(run);
     } finally {
       this.addChecking(run.content, -1);
     }
   }
 
-  private async recordEnd({
+  private async recordExit({
     requestId,
     content,
     endpoint,
--- a/packages/gateway/src/serving/plain_answer_reader.ts
+++ b/packages/gateway/src/serving/plain_answer_reader.ts
@@ -1,4 +1,4 @@
-/** What an answer that is no event stream says of its request. */
+/** Reads answers that are not event streams, and decides whether they ran. */
 import {
   MISDIRECTED_STATUS,
   type EndpointAnswer,
@@ -8,11 +8,11 @@
 import type {PlainAnswer} from './caller_exchange.js';
 import type {EndpointRecord} from './endpoint_record.js';
 
-/** The reading. */
+/** The result of a request with a plain answer. */
 export type PlainAnswerResult =
-  /** The endpoint did not run it. */
+  /** The endpoint did not run the request. */
   | {readonly kind: 'refused'; readonly detail: string}
-  /** It ran or may have run, and its answer cannot be used. */
+  /** The request has no usable answer; it may have run. */
   | {
       readonly kind: 'lost';
       readonly mayHaveRun: boolean;
@@ -20,7 +20,7 @@
     }
   | {readonly kind: 'whole'; readonly answer: PlainAnswer};
 
-/** Reads an answer to its end. */
+/** Reads a plain answer to its end. */
 export async function readPlainAnswer(
   endpoints: GatewayEndpoints,
   endpoint: EndpointRecord,
--- a/packages/gateway/src/serving/plan_search.ts
+++ b/packages/gateway/src/serving/plan_search.ts
@@ -1,20 +1,20 @@
 /**
- * Looks for the engine of a stream's next attempt. A begun answer waits a while when
- * there is none; a request that has not begun is refused at once.
+ * Searches for the engine of a stream's next attempt. When there is none, a
+ * stream whose answer has started waits a while; any other is refused at once.
  */
 import type {AttemptPlan} from './stream_attempt.js';
 import type {ServingParts} from './serving_parts.js';
 import type {StreamPlanner} from './stream_planner.js';
 
-/** How long an engine is looked for when none is left, in ms. */
-const SEARCH_MS = 1500;
-/** The time between two looks, in ms. */
-const SEARCH_STEP_MS = 50;
+/** How long to search for an engine when none is available, in ms. */
+const MAX_SEARCH_MS = 1500;
+/** The time between two searches, in ms. */
+const SEARCH_INTERVAL_MS = 50;
 
-/** The search of one stream. */
+/** Searches for the engines of one stream. */
 export class PlanSearch {
-  /** Until when an engine is looked for; undefined while one runs an attempt. */
-  private until: number | undefined;
+  /** When the current search gives up; undefined while an attempt runs. */
+  private deadline: number | undefined;
 
   constructor(
     private readonly parts: Pick<ServingParts, 'clock' | 'endpoints'>,
@@ -24,36 +24,36 @@
   ) {}
 
   /**
-   * Finds where the next attempt runs; undefined when there is no engine.
+   * Finds a place for the next attempt; undefined when there is no engine.
    *
-   * @param isBegun Whether the caller has a part of the answer.
+   * @param isAnswerStarted Whether the caller has received part of the answer.
    */
-  async find(isBegun: boolean): Promise<AttemptPlan | undefined> {
+  async find(isAnswerStarted: boolean): Promise<AttemptPlan | undefined> {
     const {planner, signal} = this;
     const {clock} = this.parts;
-    this.until ??= this.decideEnd(isBegun);
-    const {until} = this;
+    this.deadline ??= this.computeDeadline(isAnswerStarted);
+    const {deadline} = this;
     for (;;) {
       await planner.pollRemoteEngines();
       const plan = planner.choosePlan();
       if (plan !== undefined || signal.aborted) return plan;
-      if (clock.getNow() >= until) return undefined;
-      await clock.wait(SEARCH_STEP_MS, signal);
+      if (clock.getNow() >= deadline) return undefined;
+      await clock.wait(SEARCH_INTERVAL_MS, signal);
       planner.dropHolds();
     }
   }
 
-  /** An engine was found: the next search has the whole time again. */
+  /** Ends the search, so that the next one gets the full time again. */
   end(): void {
-    this.until = undefined;
+    this.deadline = undefined;
   }
 
-  /** A begun answer also waits for an engine that asked for a pause. */
-  private decideEnd(isBegun: boolean): number {
+  /** A started answer also waits for the end of the first endpoint pause. */
+  private computeDeadline(isAnswerStarted: boolean): number {
     const {clock, endpoints} = this.parts;
     const now = clock.getNow();
-    if (!isBegun) return now;
+    if (!isAnswerStarted) return now;
     const pauseEnd = endpoints.findFirstPauseEnd(this.service) ?? now;
-    return Math.max(now, pauseEnd) + SEARCH_MS;
+    return Math.max(now, pauseEnd) + MAX_SEARCH_MS;
   }
 }
--- a/packages/gateway/src/serving/prompt_cache_finder.ts
+++ b/packages/gateway/src/serving/prompt_cache_finder.ts
@@ -1,10 +1,10 @@
 /**
- * Finds the engines that still keep the prompt of a caller that comes again.
- * The host that served it before may be gone with all that it knew, so the
- * engines themselves are asked. Several callers that come again at the same
- * time, as after the loss of a host, share the answers. The gain: after a loss of
- * all hosts 11,600 prompt tokens were read again for the callers that came
- * again, 48,000 where a hash had to name the engine (one day of load each).
+ * Finds the engines that still have the prompt of a reconnecting caller in
+ * their cache. The host that served the caller before may be lost with its
+ * state, so the engines are polled. Callers that reconnect at the same time, as
+ * after the loss of a host, share the answers. After a loss of all hosts,
+ * reconnecting callers cost 11,600 prompt tokens of repeated processing this
+ * way, but 48,000 when a hash of the prompt chose the engine.
  */
 import {
   computeKeptTokens,
@@ -16,87 +16,87 @@
 import type {EndpointRecord} from './endpoint_record.js';
 import type {EngineClient} from './engine_client.js';
 
-/** Tokens kept of each part, by the part's id. */
-type KeptParts = ReadonlyMap<string, number>;
+/** The number of cached tokens of each prompt part, by the part's id. */
+type CachedParts = ReadonlyMap<string, number>;
 
-interface KeptAnswer {
-  readonly askedAt: number;
-  readonly parts: Promise<KeptParts | undefined>;
+interface PolledAnswer {
+  readonly polledAt: number;
+  readonly parts: Promise<CachedParts | undefined>;
 }
 
 /**
- * How many engines are asked: those of this host's failure domain, where most
- * callers of a domain run, then others, both in the prompt's own order. With
- * more engines than this some that keep the prompt are not found; the number
- * bounds what one caller costs.
+ * How many engines are polled: first those of this host's failure domain, where
+ * most of its callers' streams run, then others, both in the prompt's
+ * preference order. This bounds the cost of one caller; with more engines, some
+ * that have the prompt are not found.
  */
-const MAX_ASKED = 24;
-/** How long an engine may take to answer, in ms; it takes a few mostly. */
-const ANSWER_MS = 120;
-/** How long an answer is used, in ms; callers of a lost host come together. */
-const USE_MS = 100;
+const MAX_POLLED_ENGINES = 24;
+/** The timeout of a poll, in ms; an engine mostly takes a few ms. */
+const POLL_TIMEOUT_MS = 120;
+/** How long an answer is reused, in ms; lost hosts' callers come together. */
+const ANSWER_TTL_MS = 100;
 
-/** Asks engines for the prompts that they keep. */
+/** Polls engines for the prompts in their caches. */
 export class PromptCacheFinder {
-  private readonly answers = new Map<string, KeptAnswer>();
+  private readonly answers = new Map<string, PolledAnswer>();
 
   constructor(
-    private readonly engines: EngineClient,
+    private readonly engineClient: EngineClient,
     private readonly codec: KeptPromptCodec,
     private readonly ownDomain: string,
     private readonly clock: Clock,
     private readonly log: Logger,
   ) {}
 
-  /** Gives the tokens that engines keep of a prompt, by instance id. */
+  /** Returns how many tokens of a prompt are cached, by engine instance id. */
   async findCachedTokens(
     engines: readonly EndpointRecord[],
     prompt: readonly PromptPartView[],
   ): Promise<ReadonlyMap<string, number>> {
-    this.dropOld();
-    const kept = new Map<string, number>();
+    this.dropExpired();
+    const cachedTokens = new Map<string, number>();
     const key = prompt.at(-1)?.id;
-    if (key === undefined) return kept;
+    if (key === undefined) return cachedTokens;
     const sorted = sortByPreference(engines, key);
-    const asked = [
-      ...sorted.filter((engine) => this.isNear(engine)),
-      ...sorted.filter((engine) => !this.isNear(engine)),
-    ].slice(0, MAX_ASKED);
+    const polled = [
+      ...sorted.filter((engine) => this.isInOwnDomain(engine)),
+      ...sorted.filter((engine) => !this.isInOwnDomain(engine)),
+    ].slice(0, MAX_POLLED_ENGINES);
     await Promise.all(
-      asked.map(async (engine) => {
+      polled.map(async (engine) => {
         const parts = await this.poll(engine);
         const tokens = computeKeptTokens(prompt, parts ?? new Map());
-        if (tokens > 0) kept.set(engine.instanceId, tokens);
+        if (tokens > 0) cachedTokens.set(engine.instanceId, tokens);
       }),
     );
-    return kept;
+    return cachedTokens;
   }
 
-  private isNear({failureDomain}: EndpointRecord): boolean {
+  private isInOwnDomain({failureDomain}: EndpointRecord): boolean {
     return failureDomain === this.ownDomain;
   }
 
-  private poll(engine: EndpointRecord): Promise<KeptParts | undefined> {
+  private poll(engine: EndpointRecord): Promise<CachedParts | undefined> {
     const {instanceId} = engine;
     const known = this.answers.get(instanceId);
     if (known !== undefined) return known.parts;
     const parts = this.pollOnce(engine);
-    const askedAt = this.clock.getNow();
-    this.answers.set(instanceId, {askedAt, parts});
+    const polledAt = this.clock.getNow();
+    this.answers.set(instanceId, {polledAt, parts});
     return parts;
   }
 
   private async pollOnce(
     engine: EndpointRecord,
-  ): Promise<KeptParts | undefined> {
+  ): Promise<CachedParts | undefined> {
     const call = this.codec.encodeListKept();
-    const answer = await this.engines.send(engine, call, ANSWER_MS);
+    const answer = await this.engineClient.send(engine, call, POLL_TIMEOUT_MS);
     const parts =
       answer === undefined
         ? undefined
         : this.codec.decodeListKept(answer.status, answer.body);
     if (parts === undefined) {
-      this.log.writeDebug('An engine did not tell which prompts it keeps.', {
+      this.log.writeDebug('An engine did not report its cached prompts.', {
         endpoint: engine.instanceId,
         address: engine.address,
       });
@@ -104,10 +104,10 @@
     return parts;
   }
 
-  private dropOld(): void {
-    const oldest = this.clock.getNow() - USE_MS;
-    for (const [instanceId, {askedAt}] of this.answers) {
-      if (askedAt < oldest) this.answers.delete(instanceId);
+  private dropExpired(): void {
+    const oldest = this.clock.getNow() - ANSWER_TTL_MS;
+    for (const [instanceId, {polledAt}] of this.answers) {
+      if (polledAt < oldest) this.answers.delete(instanceId);
     }
   }
 }
--- a/packages/gateway/src/serving/request_content.ts
+++ b/packages/gateway/src/serving/request_content.ts
@@ -1,21 +1,21 @@
 /**
- * What makes two requests the same one for whoever runs them: the team, the path
- * with its query, and the body. Ids and all other headers differ from one try
- * of a caller to the next.
+ * Hashes the content of a request: team, path with query, and body. Requests
+ * with the same content do the same on an endpoint; request ids and other
+ * headers differ between a caller's retries.
  */
 import {createHash} from 'node:crypto';
 
 /**
- * Half of a SHA-256 digest: no two contents meet by chance, and none can be made
- * to meet another. One takes 4 µs for a body of 1 KB (mean of 100,000).
+ * Half of a SHA-256 digest, so that contents collide neither by chance nor by
+ * intent. Hashing a body of 1 KB takes 4 µs.
  */
 const CONTENT_HEX_DIGITS = 32;
 
-/** The name of a content: 32 hexadecimal digits. */
+/** Matches the hash of a content: 32 hexadecimal digits. */
 export const CONTENT_PATTERN = /^[0-9a-f]{32}$/u;
 
 /**
- * Gives the name of a request's content.
+ * Hashes the content of a request.
  *
  * @param team Undefined for a route that needs no key.
  */
@@ -24,7 +24,7 @@
   path: string,
   body: Buffer,
 ): string {
-  // As JSON, no team and path can be mistaken for another pair.
+  // JSON keeps different pairs of team and path distinct.
   return createHash('sha256')
     .update(JSON.stringify([team ?? null, path]))
     .update(body)
--- a/packages/gateway/src/serving/request_handler.ts
+++ b/packages/gateway/src/serving/request_handler.ts
@@ -1,6 +1,6 @@
 /**
- * Takes a caller's request, checks it against the configuration in force, and
- * gives it to the driver of its kind.
+ * Handles a caller's request: validates it against the current configuration
+ * and runs the driver for calls or for streams.
  */
 import {chooseShare} from '@irisdock/decisions';
 import type {KnownError} from '@irisdock/kernel';
@@ -15,18 +15,18 @@
 import {getRandomFraction, type ServingParts} from './serving_parts.js';
 import {StreamDriver} from './stream_driver.js';
 
-const MILLI = 1000;
+const MS_PER_SECOND = 1000;
 
-/** What the handler asks of its host. */
+/** The state of the host that runs the handler. */
 export interface HostState {
-  /** Whether a stream that begins now could not be finished here. */
+  /** Whether the host will stop before a stream that starts now could end. */
   readonly isTooLateForStreams: boolean;
   readonly isLeaving: boolean;
-  /** Whether this host may have missed a change of the configuration. */
+  /** Whether this host's configuration may be out of date. */
   readonly mayBeBehind: boolean;
 }
 
-/** Handles requests. */
+/** Handles the requests of callers. */
 export class RequestHandler {
   constructor(
     private readonly parts: ServingParts,
@@ -56,8 +56,8 @@
       this.refuse(exchange, error);
       return;
     }
-    // What ended endpoints under other ids, here or at other hosts, would end
-    // more: no bound on one try of a caller can see that.
+    // The content may have crashed endpoints under other request ids, here or
+    // on other hosts. The limits on one request's attempts don't count those.
     const {content} = request;
     if (this.parts.crashes.isRefused(content)) {
       this.refuse(exchange, createRefused(content, false));
@@ -81,8 +81,11 @@
       this.refuse(exchange, this.createRetryable('leaving'));
       return;
     }
-    const left = Math.min(startedAt + route.timeoutMs, request.callerDeadline);
-    exchange.setTimeLimit(left - parts.clock.getNow());
+    const deadline = Math.min(
+      startedAt + route.timeoutMs,
+      request.callerDeadline,
+    );
+    exchange.setTimeLimit(deadline - parts.clock.getNow());
     const driver = isStream
       ? new StreamDriver(parts, this.prober, request, route, service)
       : new CallDriver(parts, request, route, service);
@@ -90,7 +93,7 @@
     const {lastEndpoint: endpoint, sends} = driver;
     const {kind} = route;
     parts.metrics.requests.inc({kind, outcome});
-    const seconds = (parts.clock.getNow() - startedAt) / MILLI;
+    const seconds = (parts.clock.getNow() - startedAt) / MS_PER_SECOND;
     if (!isStream && outcome === 'answered') {
       parts.metrics.answerSeconds.observe({kind}, seconds);
     }
@@ -104,20 +107,20 @@
       address: endpoint?.address,
       sends,
       outcome,
-      ms: Math.round(seconds * MILLI),
+      ms: Math.round(seconds * MS_PER_SECOND),
       ...(driver instanceof StreamDriver ? driver.listFigures() : {}),
     });
   }
 
-  /** Checks key, id and body; refuses and gives undefined when one is bad. */
+  /** Validates key, id and body; refuses the request if one is invalid. */
   private async admit(
     exchange: CallerExchange,
     route: ServingRoute,
   ): Promise<AdmittedRequest | undefined> {
     const {codec, configuration} = this.parts;
     const terms = codec.decodeRequest(exchange.lines);
-    const found = configuration.findTeam(terms.key, route);
-    if (found.kind === 'unknown') {
+    const teamLookup = configuration.findTeam(terms.key, route);
+    if (teamLookup.kind === 'unknown') {
       this.refuseUnknown(exchange, 'unknown_key');
       return undefined;
     }
@@ -133,7 +136,7 @@
       this.refuse(exchange, GATEWAY_ERRORS.create('body_too_large', {limit}));
       return undefined;
     }
-    const team = found.kind === 'known' ? found.team : undefined;
+    const team = teamLookup.kind === 'known' ? teamLookup.team : undefined;
     const callerUntil = exchange.startedAt + (remainingMs ?? Infinity);
     const content = hashContent(team, exchange.path, body);
     return {
@@ -148,15 +151,15 @@
   }
 
   private chooseService(route: ServingRoute): string | undefined {
-    const only = route.shares[0];
-    if (route.shares.length === 1) return only?.service;
+    const onlyShare = route.shares[0];
+    if (route.shares.length === 1) return onlyShare?.service;
     return chooseShare(route.shares, getRandomFraction(this.parts.random))
       ?.service;
   }
 
   /**
-   * Refuses for good what no route or key allows; a host that may be behind
-   * says only that another one may know more.
+   * Refuses a request that matches no route or key. A host whose configuration
+   * may be out of date sends a retryable error, as another host may know it.
    */
   private refuseUnknown(
     exchange: CallerExchange,
--- a/packages/gateway/src/serving/retry_budgets.ts
+++ b/packages/gateway/src/serving/retry_budgets.ts
@@ -1,18 +1,18 @@
-/** The budgets of repeated sends, one a service. */
+/** The retry budgets of services. */
 import {WindowedBudget, type WindowedBudgetOptions} from '@irisdock/decisions';
 
-/** The budgets. */
+/** Keeps one retry budget per service. */
 export class RetryBudgets {
   private readonly budgets = new Map<string, WindowedBudget>();
 
-  /** @param countHosts Gives the hosts that share each budget. */
+  /** @param countHosts Returns the number of hosts that share each budget. */
   constructor(
     private options: WindowedBudgetOptions,
     private readonly countHosts: () => number,
     private readonly getNow: () => number,
   ) {}
 
-  /** Takes other bounds; what was sent so far counts against them. */
+  /** Replaces the bounds; earlier requests and retries count against them. */
   setBounds(options: WindowedBudgetOptions): void {
     this.options = options;
     for (const budget of this.budgets.values()) budget.setBounds(options);
@@ -23,7 +23,7 @@
     this.getBudget(service).addRequest(this.getNow());
   }
 
-  /** Takes one repeated send; false when this host's share is used up. */
+  /** Takes one retry; false when this host's share of the budget is used up. */
   takeRetry(service: string): boolean {
     const hosts = this.countHosts();
     return this.getBudget(service).takeRepeat(this.getNow(), hosts);
--- a/packages/gateway/src/serving/rollout_counts.ts
+++ b/packages/gateway/src/serving/rollout_counts.ts
@@ -1,7 +1,8 @@
 /**
- * What this host saw of one roll-out: requests, sends to the new version, and
- * how the endpoints of both versions answered, by route. An answer that took
- * several times what the version before usually takes on its route is a bad one.
+ * This host's counts for one rollout: requests, sends to the new version, and
+ * by route how the endpoints of both versions answered. An answer that takes
+ * several times as long as usual for the old version on its route counts as
+ * bad.
  */
 import type {
   AnswerCount,
@@ -11,51 +12,52 @@
 import {decideVersion} from '@irisdock/decisions';
 import type {RouteCount} from '../model/rollout_order.js';
 
-/** How one endpoint answered one request. */
+/** The answer of one endpoint to one request. */
 export interface ObservedAnswer {
   readonly route: string;
   readonly instanceId: string;
   readonly isNew: boolean;
   readonly isFailed: boolean;
-  /** The time that says how fast it was, in ms. */
+  /** The time to the answer or first event, or between events, in ms. */
   readonly ms: number;
 }
 
-/** So many times the usual time is slow. */
-const SLOW_TIMES = 3;
+/** An answer that takes this many times the baseline is slow. */
+const SLOW_FACTOR = 3;
 /**
- * An answer that is later than usual by less than this is not slow, in ms: a busy
- * host delays answers of any version by as much, and no caller is harmed.
+ * An answer within this delay over the baseline is not slow, in ms. A busy host
+ * delays answers of any version by as much, and callers don't notice it.
  */
-const SLOW_LEAST_MS = 50;
-/** Answers from which the usual time is known. */
-const USUAL_FROM = 8;
-/** The weight of the newest answer in the usual time. */
-const USUAL_WEIGHT = 0.1;
+const MIN_SLOW_DELAY_MS = 50;
+/** How many answers of the old version establish the baseline. */
+const MIN_BASELINE_ANSWERS = 8;
+/** The weight of the newest answer in the moving average of the baseline. */
+const BASELINE_WEIGHT = 0.1;
 
 interface MutableCount {
   answers: number;
   bad: number;
 }
 
+/** The counts of one route. */
 class RouteCounts {
   readonly before: MutableCount = {answers: 0, bad: 0};
   readonly byEndpoint = new Map<string, MutableCount>();
-  private usualMs = 0;
+  private baselineMs = 0;
 
   add({instanceId, isNew, isFailed, ms}: ObservedAnswer): void {
-    const isKnown = this.before.answers >= USUAL_FROM;
-    const slowFrom = Math.max(
-      SLOW_TIMES * this.usualMs,
-      this.usualMs + SLOW_LEAST_MS,
+    const hasBaseline = this.before.answers >= MIN_BASELINE_ANSWERS;
+    const slowThresholdMs = Math.max(
+      SLOW_FACTOR * this.baselineMs,
+      this.baselineMs + MIN_SLOW_DELAY_MS,
     );
-    const isSlow = isKnown && ms > slowFrom;
+    const isSlow = hasBaseline && ms > slowThresholdMs;
     const count = isNew ? this.getEndpoint(instanceId) : this.before;
     count.answers++;
     if (isFailed || isSlow) count.bad++;
     if (isNew || isFailed) return;
-    const weight = Math.max(USUAL_WEIGHT, 1 / this.before.answers);
-    this.usualMs += weight * (ms - this.usualMs);
+    const weight = Math.max(BASELINE_WEIGHT, 1 / this.before.answers);
+    this.baselineMs += weight * (ms - this.baselineMs);
   }
 
   private getEndpoint(instanceId: string): MutableCount {
@@ -67,7 +69,7 @@
   }
 }
 
-/** The counts of one host. */
+/** This host's counts for one rollout. */
 export class RolloutCounts {
   requests = 0;
   trialSends = 0;
@@ -82,7 +84,7 @@
     counts.add(answer);
   }
 
-  /** Gives the verdict by what this host alone saw. */
+  /** Computes the verdict on the new version from this host's counts alone. */
   decide(): VersionVerdict {
     return decideVersion(computeEvidence([this.listRoutes()]));
   }
@@ -106,7 +108,7 @@
   readonly byEndpoint: Map<string, AnswerCount>;
 }
 
-/** Sums up what several hosts saw. */
+/** Adds up the counts of several hosts. */
 export function computeEvidence(
   lists: Iterable<readonly RouteCount[]>,
 ): RouteEvidence[] {
--- a/packages/gateway/src/serving/rollout_state.ts
+++ b/packages/gateway/src/serving/rollout_state.ts
@@ -1,6 +1,6 @@
 /**
- * One roll-out as one host knows it: its order, its phase, which only goes
- * forward, and what this host and others saw of it.
+ * One rollout as one host knows it: its order, its phase, which only advances,
+ * and the counts of this host and the reports of all hosts.
  */
 import {
   computeTrialRoom,
@@ -18,75 +18,79 @@
   type ObservedAnswer,
 } from './rollout_counts.js';
 
-/** How an endpoint stands to a roll-out of its service. */
+/** Which version of a rollout an endpoint has. */
 export type RolloutSide = 'new' | 'old' | 'other';
 
-/** One roll-out. */
+/** The state of one rollout. */
 export class RolloutState {
   readonly counts = new RolloutCounts();
-  /** Versions that served when the order came, and before it moved. */
+  /** Other versions that were seen before phase `moving`. */
   private readonly oldVersions = new Set<string>();
   private readonly reports = new Map<string, RolloutReport>();
-  private known: RolloutPhase = 'announced';
+  private currentPhase: RolloutPhase = 'announced';
 
   constructor(
     readonly order: RolloutOrder,
     /** The revision of the order. */
     readonly revision: number,
-    /** When this host learned of it, on the monotonic clock. */
+    /** When this host learned of the order, on the monotonic clock. */
     readonly startedAt: number,
   ) {}
 
   get phase(): RolloutPhase {
-    return this.known;
+    return this.currentPhase;
   }
 
-  /** Whether nothing more is decided of it. */
+  /** Whether the rollout has reached a final phase. */
   get isOver(): boolean {
-    return this.known === 'completed' || this.known === 'rolled-back';
+    return (
+      this.currentPhase === 'completed' || this.currentPhase === 'rolled-back'
+    );
   }
 
-  /** Goes on to a phase; false when it is not further than the known one. */
+  /** Advances to a phase; false if it is not later than the current one. */
   setPhase(next: RolloutPhase): boolean {
-    const isFurther =
-      ROLLOUT_PHASES.indexOf(next) > ROLLOUT_PHASES.indexOf(this.known);
-    if (isFurther) this.known = next;
-    return isFurther;
+    const isAdvance =
+      ROLLOUT_PHASES.indexOf(next) > ROLLOUT_PHASES.indexOf(this.currentPhase);
+    if (isAdvance) this.currentPhase = next;
+    return isAdvance;
   }
 
-  /** Takes it that endpoints of a version serve. */
+  /** Records that there are endpoints of a version. */
   addVersion(version: string): void {
-    const isMoved = this.known === 'moving' || this.known === 'completed';
+    const isMoved =
+      this.currentPhase === 'moving' || this.currentPhase === 'completed';
     if (version !== this.order.version && !isMoved) {
       this.oldVersions.add(version);
     }
   }
 
-  /** Tells how an endpoint of the service stands to it. */
+  /** Returns which version an endpoint of the service has. */
   getSide({entry}: EndpointRecord): RolloutSide {
     if (entry.version === this.order.version) return 'new';
     return this.oldVersions.has(entry.version) ? 'old' : 'other';
   }
 
   /**
-   * Whether endpoints of a side get usual requests.
+   * Whether endpoints of a side get usual requests, that is, no trials.
    *
-   * @param hasNew Whether any new endpoint can take requests.
-   * @param hasOld Whether any old endpoint is known.
+   * @param hasNew Whether any endpoint of the new version can take requests.
+   * @param hasOld Whether any endpoint of an old version is known.
    */
   isOpen(side: RolloutSide, hasNew: boolean, hasOld: boolean): boolean {
-    const isMoved = this.known === 'moving' || this.known === 'completed';
-    // With no old one left it was completed before this host heard of it.
-    const isPast = this.known === 'announced' && !hasOld;
-    if (side === 'new') return isMoved || isPast;
+    const isMoved =
+      this.currentPhase === 'moving' || this.currentPhase === 'completed';
+    // With no old endpoint left, the rollout ended before this host knew of it.
+    const isAlreadyCompleted = this.currentPhase === 'announced' && !hasOld;
+    if (side === 'new') return isMoved || isAlreadyCompleted;
     if (side === 'other' || !isMoved) return true;
-    // Before its end old endpoints still run, and stand in for lost new ones.
-    return this.known === 'moving' && !hasNew;
+    // Until completion, old endpoints still run and replace lost new ones.
+    return this.currentPhase === 'moving' && !hasNew;
   }
 
-  /** Counts one more trial if there is room for it. */
+  /** Takes one trial; false if the exposure bounds allow no more. */
   takeTrial(bounds: ExposureBounds, hosts: number): boolean {
-    if (this.known !== 'trial') return false;
+    if (this.currentPhase !== 'trial') return false;
     const {counts} = this;
     const room = computeTrialRoom(bounds, counts.requests, hosts);
     if (counts.trialSends + 1 > room) return false;
@@ -94,19 +98,19 @@
     return true;
   }
 
-  /** Takes an answer; a host that sees enough by itself goes back at once. */
+  /** Adds an answer; true if this host alone thereby decided to roll back. */
   addAnswer(answer: ObservedAnswer): boolean {
     this.counts.add(answer);
     if (!answer.isNew || this.isOver) return false;
     return this.counts.decide() === 'bad' && this.setPhase('rolled-back');
   }
 
-  /** Gives what this host tells of it. */
+  /** Creates this host's report on the rollout. */
   createReport(oldRunning: number): RolloutReport {
     return {
       service: this.order.service,
       revision: this.revision,
-      phase: this.known,
+      phase: this.currentPhase,
       requests: this.counts.requests,
       trialSends: this.counts.trialSends,
       oldRunning,
@@ -114,15 +118,15 @@
     };
   }
 
-  /** Takes what a host told. */
+  /** Adds the report of a host. */
   addReport(host: string, report: RolloutReport): void {
     this.reports.set(host, report);
   }
 
   /**
-   * Sums up what the hosts told.
+   * Aggregates the reports of the hosts.
    *
-   * @param hosts The hosts that serve.
+   * @param hosts The hosts that take requests.
    */
   createView(
     hosts: readonly string[],
@@ -134,7 +138,7 @@
     const sum = (get: (report: RolloutReport) => number): number =>
       reports.reduce((total, report) => total + get(report), 0);
     return {
-      phase: this.known,
+      phase: this.currentPhase,
       verdict: decideVersion(
         computeEvidence(reports.map(({routes}) => routes)),
       ),
@@ -148,12 +152,12 @@
     };
   }
 
-  /** Undefined until all hosts have told that they know of the change-over. */
+  /** Undefined until all hosts have reported the current phase. */
   private countOldRunning(hosts: readonly string[]): number | undefined {
     let running = 0;
     for (const host of hosts) {
       const report = this.reports.get(host);
-      if (report?.phase !== this.known) return undefined;
+      if (report?.phase !== this.currentPhase) return undefined;
       running += report.oldRunning;
     }
     return running;
--- a/packages/gateway/src/serving/rollouts.ts
+++ b/packages/gateway/src/serving/rollouts.ts
@@ -1,7 +1,8 @@
 /**
- * The roll-outs that are under way, as the drivers of requests see them: which
- * endpoints are open, which requests are trials, and how they were answered.
- * Where none is ordered, nothing is counted and every endpoint is open.
+ * The rollouts in progress, as the drivers of requests use them: which
+ * endpoints get usual requests, which requests are trials of the new version,
+ * and how they were answered. Without a rollout nothing is counted and every
+ * endpoint is open.
  */
 import {
   decideTrialEndpoints,
@@ -13,20 +14,20 @@
 import type {EndpointRecord} from './endpoint_record.js';
 import {RolloutState, type RolloutSide} from './rollout_state.js';
 
-/** Lists what this needs of endpoints. */
+/** Lists the endpoints that rollouts apply to. */
 export interface RolloutEndpoints {
   listAll(): Iterable<EndpointRecord>;
 }
 
-/** What the roll-outs need of the rest. */
+/** Dependencies of the rollouts. */
 export interface RolloutsParts {
   readonly clock: Clock;
   readonly log: Logger;
   readonly bounds: ExposureBounds;
   readonly endpoints: RolloutEndpoints;
-  /** Gives the number of hosts that take requests. */
+  /** Returns the number of hosts that take requests. */
   readonly countHosts: () => number;
-  /** Called when this host has gone on to another phase by itself. */
+  /** Called when this host advances a rollout to another phase. */
   readonly handleChange: (state: RolloutState) => void;
 }
 
@@ -34,23 +35,23 @@
 export interface AnswerOutcome {
   readonly route: string;
   readonly isFailed: boolean;
-  /** The time that says how fast it was, in ms. */
+  /** The time to the answer or first event, or between events, in ms. */
   readonly ms: number;
 }
 
-/** The roll-outs. */
+/** Keeps the rollouts of all services. */
 export class Rollouts {
-  /** By service. */
+  /** The rollout states, by service. */
   private readonly states = new Map<string, RolloutState>();
 
   constructor(private readonly parts: RolloutsParts) {}
 
-  /** Lists the roll-outs that are known. */
+  /** Lists the known rollouts. */
   listStates(): Iterable<RolloutState> {
     return this.states.values();
   }
 
-  /** Whether none was ever ordered. */
+  /** Whether no rollout was ever ordered. */
   get isEmpty(): boolean {
     return this.states.size === 0;
   }
@@ -59,14 +60,14 @@
     return this.states.get(service);
   }
 
-  /** Takes an order; one that is known already changes nothing. */
+  /** Adds an order; one with a known revision changes nothing. */
   addOrder(order: RolloutOrder, revision: number): void {
     const {service} = order;
     const known = this.states.get(service);
     if (known !== undefined && known.revision >= revision) return;
     const now = this.parts.clock.getNow();
     this.states.set(service, new RolloutState(order, revision, now));
-    this.parts.log.writeInfo('A roll-out is ordered.', {
+    this.parts.log.writeInfo('A rollout was ordered.', {
       service,
       version: order.version,
       durationMs: order.durationMs,
@@ -74,63 +75,63 @@
     this.updateEndpoints();
   }
 
-  /** Takes it that the order of a service was withdrawn. */
+  /** Rolls back the rollout of a service whose order was withdrawn. */
   removeOrder(service: string): void {
     const state = this.states.get(service);
     if (state === undefined || state.isOver) return;
     if (state.setPhase('rolled-back')) this.handlePhaseChange(state);
   }
 
-  /** Works out anew which endpoints are open. */
+  /** Updates which endpoints get usual requests. */
   updateEndpoints(): void {
     if (this.states.size === 0) return;
     const records = [...this.parts.endpoints.listAll()];
     for (const {entry} of records) {
       this.states.get(entry.service)?.addVersion(entry.version);
     }
-    const withNew = new Set<RolloutState>();
-    const withOld = new Set<RolloutState>();
+    const statesWithNew = new Set<RolloutState>();
+    const statesWithOld = new Set<RolloutState>();
     for (const state of this.states.values()) {
-      if (this.listNewEndpoints(state).length > 0) withNew.add(state);
-      if (this.listSide(state, 'old').length > 0) withOld.add(state);
+      if (this.listNewEndpoints(state).length > 0) statesWithNew.add(state);
+      if (this.listSide(state, 'old').length > 0) statesWithOld.add(state);
     }
     for (const record of records) {
       const state = this.states.get(record.entry.service);
       if (state === undefined) continue;
       const side = state.getSide(record);
-      const hasNew = withNew.has(state);
+      const hasNew = statesWithNew.has(state);
       record.isExcludedByRollout = !state.isOpen(
         side,
         hasNew,
-        withOld.has(state),
+        statesWithOld.has(state),
       );
     }
   }
 
-  /** Counts a request of a service. */
+  /** Counts a request for a service. */
   recordRequest(service: string): void {
     const state = this.states.get(service);
     if (state !== undefined) state.counts.requests++;
   }
 
-  /** Gives the endpoints for a request that is to be a trial. */
+  /** Takes a trial; returns its endpoints, or undefined if there is none. */
   takeTrial(service: string): readonly EndpointRecord[] | undefined {
     const state = this.states.get(service);
     if (state?.phase !== 'trial') return undefined;
     const {bounds, countHosts} = this.parts;
-    const found = this.listNewEndpoints(state);
-    if (found.length === 0) return undefined;
+    const newEndpoints = this.listNewEndpoints(state);
+    if (newEndpoints.length === 0) return undefined;
     if (!state.takeTrial(bounds, countHosts())) return undefined;
-    const ranked = found.map((record) => ({
+    const ranked = newEndpoints.map((record) => ({
       record,
       rank: hashText(record.instanceId),
     }));
     ranked.sort((a, b) => a.rank - b.rank);
-    const count = decideTrialEndpoints(bounds, found.length);
+    const count = decideTrialEndpoints(bounds, newEndpoints.length);
     return ranked.slice(0, count).map(({record}) => record);
   }
 
-  /** Takes how an endpoint answered. */
+  /** Records how an endpoint answered a request. */
   recordAnswer(record: EndpointRecord, answer: AnswerOutcome): void {
     const state = this.states.get(record.entry.service);
     if (state === undefined) return;
@@ -141,19 +142,19 @@
     if (state.addAnswer(seen)) this.handlePhaseChange(state);
   }
 
-  /** Whether the memory of a run may be copied from one to the other. */
+  /** Whether a KV cache may be replicated from one endpoint to the other. */
   isSameSide(one: EndpointRecord, other: EndpointRecord): boolean {
     const state = this.states.get(one.entry.service);
     if (state === undefined) return true;
     return state.getSide(one) === state.getSide(other);
   }
 
-  /** Lists the new endpoints that can take requests. */
+  /** Lists the endpoints of the new version that can take requests. */
   listNewEndpoints(state: RolloutState): EndpointRecord[] {
     return this.listSide(state, 'new').filter((record) => record.isReady);
   }
 
-  /** Counts what this host has running on old endpoints. */
+  /** Counts the runs of this host on endpoints of the old version. */
   countOldRunning(state: RolloutState): number {
     let running = 0;
     for (const record of this.listSide(state, 'old')) {
@@ -162,11 +163,11 @@
     return running;
   }
 
-  /** Tells of a change that was made here, and opens what it opens. */
+  /** Applies a phase change made on this host and reports it. */
   handlePhaseChange(state: RolloutState): void {
     const {service, version} = state.order;
     const {phase, counts} = state;
-    this.parts.log.writeInfo('A roll-out goes on.', {
+    this.parts.log.writeInfo('A rollout entered another phase.', {
       service,
       version,
       phase,
--- a/packages/gateway/src/serving/send_gate.ts
+++ b/packages/gateway/src/serving/send_gate.ts
@@ -1,106 +1,106 @@
 /**
- * What stands before every connection to an endpoint, and sees every answer. A
- * send needs a permit, which only the gate makes, so that no way leads past it.
+ * The gate that admits every send to an endpoint and sees every answer. A send
+ * needs a permit, and only the gate creates permits, so none can bypass it.
  */
 import type {NamedLimit, PauseRequest, SendUse} from '@irisdock/decisions';
 
-/** The start of an endpoint that a send is meant for. */
+/** The endpoint instance that a send is addressed to. */
 export interface SendTarget {
   readonly instanceId: string;
   readonly endpointId: string;
   readonly address: string;
 }
 
-/** An answer as far as it tells of its endpoint's limit. */
+/** What an answer says about the limit of its endpoint. */
 export interface LimitAnswer {
   readonly target: SendTarget;
-  /** The limit that it names; undefined when it names none. */
+  /** The limit that the answer names; undefined if it names none. */
   readonly limit: NamedLimit | undefined;
-  /** Whether an endpoint that has a limit would have named it here. */
+  /** Whether an endpoint with a limit would have named it in this answer. */
   readonly isTelling: boolean;
-  /** When the request was sent, in ms by this host's clock. */
+  /** When the request was sent, in ms on this host's clock. */
   readonly sentAt: number;
 }
 
-/** What an answer tells of its endpoint. */
+/** What an answer says about its endpoint. */
 export interface AnswerReport extends LimitAnswer {
   /** Whether the endpoint announces that it is leaving. */
   readonly isLeaving: boolean;
-  /** The pause that it asks for; undefined when it asks for none. */
+  /** The pause that the endpoint asks for; undefined if it asks for none. */
   readonly pause: PauseRequest | undefined;
 }
 
-/** Lets one request through to an endpoint. */
+/** Permits one send to an endpoint. */
 export class SendPermit {
   readonly kind = 'permit';
 
   constructor(readonly target: SendTarget) {}
 }
 
-/** Why the limit of an endpoint held a send back. */
+/** Why the limit of an endpoint holds a send back. */
 export type LimitHoldReason =
-  /** What the endpoint takes is used up for the moment. */
+  /** The endpoint's rate is used up for now. */
   | 'used-up'
-  /** Nobody hands out permits for it now, or whoever does is not heard. */
+  /** No host issues permits for the endpoint now, or its issuer is silent. */
   | 'no-issuer';
 
-interface AnyHold {
+interface BaseHold {
   readonly kind: 'held';
   readonly target: SendTarget;
-  /** Until there may be a permit, in ms; infinite if there will be none. */
+  /** Time until a permit may be available, in ms; Infinity if never. */
   readonly waitMs: number;
 }
 
-/** Says that an endpoint's limit lets no request through now. */
-export interface LimitHold extends AnyHold {
+/** A send held back by the rate limit of its endpoint. */
+export interface LimitHold extends BaseHold {
   readonly reason: LimitHoldReason;
-  /** The limit, in requests a second from all hosts together. */
+  /** The limit, in requests per second over all hosts. */
   readonly perSecond: number;
-  /** The host that hands out the permits; undefined when none is known. */
+  /** The host that issues the permits; undefined if none is known. */
   readonly issuer: string | undefined;
 }
 
-/** Says that an endpoint is leaving and gets no more requests of callers. */
-export interface LeavingHold extends AnyHold {
+/** A send held back because its endpoint is leaving. */
+export interface LeavingHold extends BaseHold {
   readonly reason: 'leaving';
 }
 
-/** Says that an endpoint asked this host for a pause. */
-export interface PauseHold extends AnyHold {
+/** A send held back because its endpoint asked this host for a pause. */
+export interface PauseHold extends BaseHold {
   readonly reason: 'paused';
 }
 
-/** Says that a send is held back. */
+/** A send that is held back, with the reason. */
 export type SendHold = LeavingHold | LimitHold | PauseHold;
 
-/** Whether a limit is the reason of a hold. */
+/** Whether a rate limit is the reason of a hold. */
 export function isLimitHold(hold: SendHold): hold is LimitHold {
   return hold.reason === 'used-up' || hold.reason === 'no-issuer';
 }
 
-/** What the gate says. */
+/** The gate's decision on a send. */
 export type SendAdmission = SendHold | SendPermit;
 
-/** The gate. */
+/** Admits sends to endpoints. */
 export interface SendGate {
-  /** Asks for a permit; waits only where the endpoint named a limit. */
+  /** Requests a permit; asynchronous only if the endpoint has a limit. */
   admit(
     target: SendTarget,
     use: SendUse,
   ): Promise<SendAdmission> | SendAdmission;
 
   /**
-   * Takes one of these whose limit no answer has confirmed for a while, to be
-   * tried before others; undefined when there is none.
+   * Takes a target whose limit no answer has confirmed for a while, to be tried
+   * before others; undefined if there is none.
    */
   takeUnconfirmed<T extends SendTarget>(targets: Iterable<T>): T | undefined;
 
-  /** Takes what an answer tells, whatever else becomes of it. */
+  /** Records what an answer says, also if the answer is not used. */
   recordAnswer(report: AnswerReport): void;
 
   /**
-   * Decides when a caller may come back whose request was held back, in ms; it
-   * counts as one that was told.
+   * Decides when the caller of a request that was held back should retry, in ms
+   * from now, and counts the caller as one that will.
    */
   decideReturnMs(holds: readonly LimitHold[]): number;
 }
--- a/packages/gateway/src/serving/send_holds.ts
+++ b/packages/gateway/src/serving/send_holds.ts
@@ -1,4 +1,4 @@
-/** What held one request back from endpoints, and what its caller is told. */
+/** Collects what held one request back, and derives the caller's error. */
 import {computePauseReturnMs} from '@irisdock/decisions';
 import type {Clock, KnownError, LogFields, Random} from '@irisdock/kernel';
 import {GATEWAY_ERRORS} from '../errors.js';
@@ -8,7 +8,7 @@
 import {createNotRun} from './send_rules.js';
 import {getRandomFraction} from './serving_parts.js';
 
-/** What the holds work with. */
+/** Dependencies of the holds. */
 export interface SendHoldsParts {
   readonly gate: SendGate;
   readonly endpoints: Pick<GatewayEndpoints, 'findFirstPauseEnd'>;
@@ -16,7 +16,7 @@
   readonly random: Random;
 }
 
-/** The holds of one request. */
+/** Collects the holds of one request. */
 export class SendHolds {
   private readonly holds: SendHold[] = [];
 
@@ -26,7 +26,7 @@
     this.holds.push(hold);
   }
 
-  /** Creates the error of a request that no endpoint ran. */
+  /** Creates the error for a request that no endpoint ran. */
   createError(service: string): KnownError {
     const {gate, endpoints, clock, random} = this.parts;
     const limited = this.holds.filter(isLimitHold);
@@ -36,13 +36,13 @@
     }
     const end = endpoints.findFirstPauseEnd(service);
     if (end === undefined) return createNotRun('no_endpoint', service, random);
-    const part = getRandomFraction(random);
-    const returnMs = computePauseReturnMs(end, clock.getNow(), part);
+    const fraction = getRandomFraction(random);
+    const returnMs = computePauseReturnMs(end, clock.getNow(), fraction);
     const seconds = formatRetryAfter(returnMs, random);
     return GATEWAY_ERRORS.create('endpoints_paused', {service}, seconds);
   }
 
-  /** Lists the holds behind a refusal, for its line in the log. */
+  /** Lists the holds for the log line of a refusal. */
   listFields(): LogFields {
     if (this.holds.length === 0) return {};
     return {held: this.holds.map(formatHold).join(', ')};
--- a/packages/gateway/src/serving/send_rules.ts
+++ b/packages/gateway/src/serving/send_rules.ts
@@ -1,4 +1,4 @@
-/** What the drivers of calls and of streams share about their sends. */
+/** Rules and errors that the drivers of calls and of streams share. */
 import type {KnownError, Random} from '@irisdock/kernel';
 import {GATEWAY_ERRORS} from '../errors.js';
 import type {ServingRoute} from '../model/serving_configuration.js';
@@ -8,15 +8,15 @@
 import {decideRetryAfter} from './retry_after.js';
 
 /**
- * How much what became of a send counts against its endpoint, beside 1 for a
- * lost connection: a full endpoint is no failed one, and a failure of its own
- * may be the request's.
+ * How much the result of a send adds to the failure score of its endpoint. A
+ * refusal counts little, as the endpoint may just be full; so does an error
+ * status, as the request may be its cause.
  */
 export const FAILURE_WEIGHTS = {lost: 1, refused: 0.15, failed: 0.3} as const;
 
 /**
- * Counts a send without an answer that can be used against its endpoint. One that
- * asked for a pause is overloaded; it has not failed.
+ * Adds a send without a usable answer to the failure score of its endpoint. An
+ * endpoint that asked for a pause is overloaded, which is no failure.
  */
 export function recordEndpointFailure(
   endpoints: Pick<GatewayEndpoints, 'isPaused'>,
@@ -28,12 +28,12 @@
 }
 
 /**
- * The longest wait of a request for another run of its suspected content, in ms.
- * The caller of a longer one is served better by an answer and a time to return.
+ * How long a request waits for another run of its suspected content, in ms. For
+ * a longer wait, an error with Retry-After serves the caller better.
  */
 export const MAX_BUSY_WAIT_MS = 5000;
 
-/** Gives the time that is left for a send, by caller and route, in ms. */
+/** Computes the time left for a send by caller and route, in ms. */
 export function computeRemainingMs(
   request: AdmittedRequest,
   route: ServingRoute,
@@ -43,16 +43,16 @@
   return Math.floor(Math.min(request.callerDeadline, routeUntil) - now);
 }
 
-/** Creates the error for a request whose content ended its endpoints. */
+/** Creates the error for a request whose content crashes endpoints. */
 export function createRefused(content: string, hasRun: boolean): KnownError {
   const kind = hasRun ? 'endpoints_ended' : 'content_refused';
   return GATEWAY_ERRORS.create(kind, {content});
 }
 
-/** Creates the error for a request whose content runs elsewhere. */
+/** Creates the error for a request whose suspected content runs elsewhere. */
 export function createBusy(content: string, random: Random): KnownError {
-  const returnTime = decideRetryAfter(random);
-  return GATEWAY_ERRORS.create('content_busy', {content}, returnTime);
+  const retryAfter = decideRetryAfter(random);
+  return GATEWAY_ERRORS.create('content_busy', {content}, retryAfter);
 }
 
 /** Creates the error for a request that no endpoint ran. */
--- a/packages/gateway/src/serving/serving_metrics.ts
+++ b/packages/gateway/src/serving/serving_metrics.ts
@@ -1,11 +1,12 @@
-/** The figures of the requests that this host serves. */
+/** Metrics of the requests that this host serves. */
 import {Counter, Histogram, type Registry} from 'prom-client';
 
-/** Bounds of the latency buckets, in seconds. */
+/** Bounds of the buckets for answer latency, in seconds. */
 const ANSWER_BUCKETS = [0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10];
+/** Bounds of the buckets for pauses after a loss, in seconds. */
 const RESUME_BUCKETS = [0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 0.7, 1, 2, 5];
 
-/** The figures. */
+/** Metrics of requests, losses and latencies. */
 export class ServingMetrics {
   readonly requests: Counter;
   readonly losses: Counter;
--- a/packages/gateway/src/serving/serving_parts.ts
+++ b/packages/gateway/src/serving/serving_parts.ts
@@ -1,4 +1,4 @@
-/** What the drivers of requests work with. */
+/** Dependencies that the drivers of requests share. */
 import type {Clock, Logger, Random} from '@irisdock/kernel';
 import type {EndpointClient} from '../channels/endpoint_client.js';
 import type {CopyCodec, HeaderCodec} from '../model/request_terms.js';
@@ -15,7 +15,7 @@
 import type {SuccessorFinder} from './successors.js';
 import type {RunLeases} from './suspect_run.js';
 
-/** The parts. */
+/** Dependencies of the drivers of requests. */
 export interface ServingParts {
   readonly clock: Clock;
   readonly random: Random;
@@ -37,10 +37,10 @@
   readonly metrics: ServingMetrics;
 }
 
-/** Steps in which random numbers from 0 to 1 are drawn. */
+/** The number of distinct values of a random fraction. */
 const RANDOM_STEPS = 1_000_000;
 
-/** Gives a random number from 0 up to 1. */
+/** Returns a random number in [0, 1). */
 export function getRandomFraction(random: Random): number {
   return random.getInt(RANDOM_STEPS) / RANDOM_STEPS;
 }
--- a/packages/gateway/src/serving/silence_detector.ts
+++ b/packages/gateway/src/serving/silence_detector.ts
@@ -1,84 +1,85 @@
 /**
- * Watches for the silence of one stream. After a short silence the endpoint
- * is asked whether it answers at all: one that does not is lost at once, one
- * that does gets longer. Before the first event there is only the question,
- * asked again and again, as prompts may take long to read. How long each of
- * it takes follows from the aims of the stream's route (silence_limits.ts).
+ * Detects when a stream has gone silent. After a short silence the endpoint is
+ * probed: if it does not answer, the stream is lost at once; if it does, the
+ * stream gets more time. Before the first event the endpoint is only probed
+ * repeatedly, as long prompts take long to process. The time limits follow from
+ * the latency targets of the stream's route (silence_limits.ts).
  */
 import {computeSilenceLimits, type SilenceLimits} from '@irisdock/decisions';
 import type {Clock} from '@irisdock/kernel';
 import type {EndpointProber} from './endpoint_prober.js';
 import type {EndpointRecord} from './endpoint_record.js';
 
-/** Unanswered questions before the first event that make a loss. */
-const MAX_UNANSWERED = 2;
+/** Unanswered probes before the first event after which the stream is lost. */
+const MAX_UNANSWERED_PROBES = 2;
 
-/** What a stream's route aims at, in ms. */
+/** The latency targets of a stream's route, in ms. */
 export interface StreamTargets {
   readonly targetGapMs?: number | undefined;
   readonly targetLatencyMs: number;
 }
 
-/** Watches one stream. */
+/** Detects the silence of one stream. */
 export class SilenceDetector {
   private timer: NodeJS.Timeout | undefined;
   private hasEvents = false;
   private eventAt = 0;
-  private unanswered = 0;
-  /** Changes with each event, so that old answers are told apart. */
-  private round = 0;
-  private stopped = false;
-  /** Whether the timer that is set checks for silence between events. */
-  private isChecking = false;
+  private unansweredProbes = 0;
+  /** Incremented with each event, to detect probes that are out of date. */
+  private eventRound = 0;
+  private isStopped = false;
+  /** Whether the current timer checks for silence between events. */
+  private isCheckPlanned = false;
 
   constructor(
     private readonly endpoint: EndpointRecord,
     private readonly prober: EndpointProber,
-    private readonly aims: StreamTargets,
+    private readonly targets: StreamTargets,
     private readonly clock: Clock,
     private readonly handleLost: (detail: string) => void,
   ) {}
 
-  /** Starts with the wait for the first event. */
+  /** Starts to wait for the first event. */
   start(): void {
     this.plan(this.getLimits().firstAskMs, () => this.probeBeforeFirst());
   }
 
-  /** Takes it that events arrived. */
+  /** Records that events arrived. */
   recordEvents(): void {
     const now = this.clock.getNow();
     if (this.hasEvents) this.endpoint.recordGap(now - this.eventAt);
     this.eventAt = now;
     this.hasEvents = true;
-    this.round++;
-    // The timer that runs is left as it is, and checks the last event when it
-    // fires: a timer an event would cost more than all else here.
-    if (!this.isChecking) this.planCheck(this.getLimits().askAfterMs);
+    this.eventRound++;
+    // A running timer is not reset; it checks the time of the last event when
+    // it fires. A new timer for each event would be the largest cost of this
+    // class.
+    if (!this.isCheckPlanned) this.planCheck(this.getLimits().askAfterMs);
   }
 
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
     clearTimeout(this.timer);
   }
 
   private getLimits(): SilenceLimits {
-    const {targetGapMs, targetLatencyMs} = this.aims;
+    const {targetGapMs, targetLatencyMs} = this.targets;
     const {usualGapMs} = this.endpoint;
     return computeSilenceLimits({targetGapMs, targetLatencyMs, usualGapMs});
   }
 
-  private plan(ms: number, step: () => Promise<void>): void {
+  private plan(ms: number, callback: () => Promise<void>): void {
     clearTimeout(this.timer);
-    if (this.stopped) return;
-    this.timer = setTimeout(() => void step(), ms);
+    if (this.isStopped) return;
+    this.timer = setTimeout(() => void callback(), ms);
   }
 
   private planCheck(ms: number): void {
     this.plan(ms, () => this.checkSilence());
-    this.isChecking = true;
+    this.isCheckPlanned = true;
   }
 
-  /** Asks the endpoint, unless events came since the timer was set. */
+  /** Probes the endpoint, unless events arrived since the timer was set. */
   private async checkSilence(): Promise<void> {
     const dueAt = this.eventAt + this.getLimits().askAfterMs;
     const leftMs = dueAt - this.clock.getNow();
@@ -86,29 +87,29 @@
       this.planCheck(leftMs);
       return;
     }
-    this.isChecking = false;
+    this.isCheckPlanned = false;
     await this.probeInStream();
   }
 
   private async probeBeforeFirst(): Promise<void> {
     const {answerMs, askEveryMs} = this.getLimits();
-    const answers = await this.prober.probe(this.endpoint, answerMs);
-    if (this.hasEvents || this.stopped) return;
-    this.unanswered = answers ? 0 : this.unanswered + 1;
-    if (this.unanswered >= MAX_UNANSWERED) {
+    const isAnswering = await this.prober.probe(this.endpoint, answerMs);
+    if (this.hasEvents || this.isStopped) return;
+    this.unansweredProbes = isAnswering ? 0 : this.unansweredProbes + 1;
+    if (this.unansweredProbes >= MAX_UNANSWERED_PROBES) {
       this.handleLost('no answer before the first event');
       return;
     }
-    const waitMs = answers ? askEveryMs : 0;
+    const waitMs = isAnswering ? askEveryMs : 0;
     this.plan(waitMs, () => this.probeBeforeFirst());
   }
 
   private async probeInStream(): Promise<void> {
-    const {round} = this;
+    const {eventRound} = this;
     const {askAfterMs, answerMs, lostAfterMs} = this.getLimits();
-    const answers = await this.prober.probe(this.endpoint, answerMs);
-    if (round !== this.round || this.stopped) return;
-    if (!answers) {
+    const isAnswering = await this.prober.probe(this.endpoint, answerMs);
+    if (eventRound !== this.eventRound || this.isStopped) return;
+    if (!isAnswering) {
       this.handleLost('silent, and no answer to a question');
       return;
     }
--- a/packages/gateway/src/serving/stream_attempt.ts
+++ b/packages/gateway/src/serving/stream_attempt.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt of a stream: one send to one engine, from the request to the end of
- * its events or to its loss. Only whole events leave it, each once.
+ * One attempt of a stream: one request to one engine, until its events end or
+ * the attempt is lost. Only complete events are passed on, each once.
  */
 import type {IncomingMessage} from 'node:http';
 import {EventSplitter, type WholeEvent} from '@irisdock/decisions';
@@ -17,26 +17,26 @@
 import type {ServingParts} from './serving_parts.js';
 import {SilenceDetector, type StreamTargets} from './silence_detector.js';
 
-/** Where and how an attempt runs. */
+/** The engine of an attempt, its standby, and the source of its KV cache. */
 export interface AttemptPlan {
   readonly endpoint: EndpointRecord;
   readonly backup: EndpointRecord | undefined;
   readonly memorySource: MemorySource | undefined;
 }
 
-/** What an attempt sends. */
+/** The request that an attempt sends. */
 export interface AttemptSend extends Omit<EndpointSend, 'signal'> {
   readonly requestId: string;
 }
 
-/** How an attempt ended. */
+/** The result of an attempt. */
 export type AttemptResult =
   | {readonly kind: 'ended'}
-  /** The caller left or its time is over. */
+  /** The caller disconnected, or the time limit of the request expired. */
   | {readonly kind: 'stopped'; readonly mayHaveRun: boolean}
-  /** The engine did not run it. */
+  /** The engine did not run the request. */
   | {readonly kind: 'refused'; readonly detail: string}
-  /** The engine answered with a failure of its own. */
+  /** The engine answered with an error status. */
   | {readonly kind: 'failed'; readonly answer: PlainAnswer}
   | {
       readonly kind: 'lost';
@@ -44,37 +44,43 @@
       readonly detail: string;
     };
 
-/** What an attempt tells while it runs. */
+/** Receives the answer of an attempt while it runs. */
 export interface AttemptListener {
-  /** Takes the head of the answer, before the first events. */
+  /** Receives status and headers, before the first events. */
   handleHead(status: number, lines: HeaderLines): void;
-  /** Passes events on; resolves when more can be taken. */
+  /** Receives events; returns a promise if it needs time before the next. */
   handleEvents(events: readonly WholeEvent[]): Promise<void> | undefined;
 }
 
-/** From this status on an answer to a stream is no stream. */
-const NO_STREAM_STATUS = 400;
+/** An answer with this status or a higher one is an error, not a stream. */
+const MIN_FAILURE_STATUS = 400;
 
-/** One attempt. */
+/** Runs one attempt of a stream. */
 export class StreamAttempt {
   private readonly controller = new AbortController();
-  private readonly watch: SilenceDetector;
+  private readonly detector: SilenceDetector;
   private lostDetail: string | undefined;
 
   constructor(
     private readonly parts: ServingParts,
     prober: EndpointProber,
     private readonly plan: AttemptPlan,
-    aims: StreamTargets,
+    targets: StreamTargets,
     private readonly listener: AttemptListener,
-    private readonly stop: AbortSignal,
+    private readonly stopSignal: AbortSignal,
   ) {
     const handleLost = (detail: string): void => {
       this.end(detail);
     };
     const {endpoint} = plan;
     const {clock} = parts;
-    this.watch = new SilenceDetector(endpoint, prober, aims, clock, handleLost);
+    this.detector = new SilenceDetector(
+      endpoint,
+      prober,
+      targets,
+      clock,
+      handleLost,
+    );
   }
 
   /** Ends the attempt as lost. */
@@ -83,25 +89,25 @@
     this.controller.abort();
   }
 
-  /** Runs the attempt to its end; its connection is closed unless it is whole. */
+  /** Runs the attempt; closes its connection unless the answer is complete. */
   async run(send: AttemptSend): Promise<AttemptResult> {
-    const signal = AbortSignal.any([this.stop, this.controller.signal]);
-    this.watch.start();
-    const ignoreGone = this.plan.endpoint.watchRemoval((cause) => {
+    const signal = AbortSignal.any([this.stopSignal, this.controller.signal]);
+    this.detector.start();
+    const stopWatching = this.plan.endpoint.watchRemoval((cause) => {
       if (cause === 'restarted') this.end('its engine started anew');
     });
     try {
       const answer = await this.parts.client.send({...send, signal});
       if (answer.kind === 'lost') {
-        if (this.stop.aborted) {
+        if (this.stopSignal.aborted) {
           return {kind: 'stopped', mayHaveRun: answer.mayHaveRun};
         }
         return {...answer, detail: this.lostDetail ?? answer.detail};
       }
       return await this.readAnswer(answer, send.requestId);
     } finally {
-      this.watch.stop();
-      ignoreGone();
+      this.detector.stop();
+      stopWatching();
     }
   }
 
@@ -116,7 +122,7 @@
       return {kind: 'lost', mayHaveRun: true, detail: fault};
     }
     if (terms.load !== undefined) this.plan.endpoint.recordLoad(terms.load);
-    if (status >= NO_STREAM_STATUS) return this.readFailure(answer);
+    if (status >= MIN_FAILURE_STATUS) return this.readFailure(answer);
     if (!answer.isEventStream) {
       answer.close();
       return {kind: 'lost', mayHaveRun: true, detail: 'it is no event stream'};
@@ -130,8 +136,8 @@
     const {endpoints, successors} = this.parts;
     const reading = await readPlainAnswer(endpoints, endpoint, answer);
     const {endpointId = endpoint.endpointId} = answer.terms;
-    const isOther = endpointId !== endpoint.endpointId;
-    if (reading.kind === 'refused' && isOther) {
+    const isDifferentEndpoint = endpointId !== endpoint.endpointId;
+    if (reading.kind === 'refused' && isDifferentEndpoint) {
       await successors.accept(endpoint, endpointId);
     }
     if (reading.kind !== 'whole') return reading;
@@ -141,11 +147,11 @@
   private async readEvents(answer: EndpointAnswer): Promise<AttemptResult> {
     const splitter = new EventSplitter();
     await this.passEvents(answer.message, splitter);
-    if (this.stop.aborted) {
+    if (this.stopSignal.aborted) {
       answer.close();
       return {kind: 'stopped', mayHaveRun: true};
     }
-    // The end of a stream without chunks may be a crash of its engine.
+    // Without chunked framing, an end of stream may be a crash of the engine.
     const isLost = this.lostDetail !== undefined || !answer.isFramed;
     if (isLost || !answer.isWhole() || splitter.pendingBytes > 0) {
       answer.close();
@@ -156,8 +162,9 @@
   }
 
   /**
-   * Passes events on until the answer ends, whole or not. A listener in place of
-   * an iteration spares two promises and an iterator's turn for each event.
+   * Passes events on until the answer ends, complete or not. Listening for data
+   * saves the two promises and the iterator step that async iteration costs for
+   * each event.
    */
   private async passEvents(
     message: IncomingMessage,
@@ -180,18 +187,18 @@
     splitter: EventSplitter,
     chunk: Buffer,
   ): void {
-    if (this.stop.aborted || this.lostDetail !== undefined) return;
+    if (this.stopSignal.aborted || this.lostDetail !== undefined) return;
     const events = splitter.add(chunk);
     if (events.length === 0) return;
-    this.watch.recordEvents();
-    const room = this.listener.handleEvents(events);
-    if (room === undefined) return;
+    this.detector.recordEvents();
+    const drained = this.listener.handleEvents(events);
+    if (drained === undefined) return;
     message.pause();
-    void room.then(() => message.resume());
+    void drained.then(() => message.resume());
   }
 }
 
-/** Says how an attempt ended. */
+/** Describes the end of an attempt, for logs and error messages. */
 export function getAttemptDetail(result: AttemptResult): string {
   if (result.kind === 'ended') return '';
   if (result.kind === 'stopped') return 'the time was over';
@@ -199,7 +206,7 @@
   return result.detail;
 }
 
-/** Whether the engine may have run what the attempt asked for. */
+/** Whether the engine may have run the request. */
 export function hasPossiblyRun(result: AttemptResult): boolean {
   if (result.kind === 'refused') return false;
   if (result.kind === 'lost' || result.kind === 'stopped') {
--- a/packages/gateway/src/serving/stream_driver.ts
+++ b/packages/gateway/src/serving/stream_driver.ts
@@ -1,9 +1,8 @@
 /**
- * Drives one stream to its end: an attempt on an engine, and after each loss an attempt
- * on another that goes on after the last event which the caller got. While a
- * attempt runs, its engine copies the memory of the run to a standby engine in
- * another failure domain; after a loss the stream goes on there, so that the
- * prompt need not be read again.
+ * Drives one stream to its end. When an attempt is lost, the next one resumes
+ * on another engine after the last event that the caller received. Each attempt
+ * replicates its KV cache to an engine in another failure domain, so that the
+ * next attempt need not process the prompt again.
  */
 import {EventProgress, type WholeEvent} from '@irisdock/decisions';
 import type {KnownError, LogFields} from '@irisdock/kernel';
@@ -40,24 +39,24 @@
 import {StreamReport} from './stream_report.js';
 import {SuspectRunAdmission} from './suspect_run.js';
 
-/** The longest wait for what became of an engine, in ms; it takes a few. */
-const MAX_END_WAIT_MS = 60;
+/** The longest wait for an engine's exit check, which takes a few ms. */
+const MAX_EXIT_CHECK_WAIT_MS = 60;
 
 /** Drives one stream. */
 export class StreamDriver {
   /** The engine of the last attempt; undefined before the first. */
   lastEndpoint: EndpointRecord | undefined;
-  /** Attempts so far. */
+  /** The number of attempts so far. */
   sends = 0;
   private readonly planner: StreamPlanner;
   private readonly progress: EventProgress;
-  private readonly repeats: StreamRetries;
+  private readonly retries: StreamRetries;
   private head: {status: number; lines: HeaderLines} | undefined;
-  private isStarted = false;
+  private isAnswerStarted = false;
   private readonly report: StreamReport;
-  private last: PlainAnswer | undefined;
+  private lastAnswer: PlainAnswer | undefined;
   private lossDetail = '';
-  private repeatBar: RetryDenial | undefined;
+  private retryDenial: RetryDenial | undefined;
   private readonly search: PlanSearch;
   private readonly holds: SendHolds;
   private readonly evidence: StreamEvidence;
@@ -76,7 +75,7 @@
     this.planner = new StreamPlanner(parts, request, service);
     const {signal} = request.exchange;
     this.search = new PlanSearch(parts, this.planner, service, signal);
-    this.repeats = new StreamRetries(parts, request, route, service);
+    this.retries = new StreamRetries(parts, request, route, service);
     this.progress = new EventProgress(terms.lastEventId);
     const {startedAt} = request.exchange;
     this.report = new StreamReport(parts, request.requestId, startedAt);
@@ -85,7 +84,7 @@
     this.evidence = new StreamEvidence(rollouts, route.name, report, clock);
   }
 
-  /** Runs attempts until the stream ends; gives its outcome for the figures. */
+  /** Runs attempts until the stream ends; returns its outcome for metrics. */
   async run(): Promise<string> {
     if (this.progress.lastEventId === undefined) {
       this.planner.setTrial(this.parts.rollouts.takeTrial(this.service));
@@ -100,9 +99,9 @@
 
   private async runAttempts(): Promise<string> {
     for (;;) {
-      const barred = await this.waitAdmitted();
-      if (barred !== undefined) return barred;
-      const plan = await this.search.find(this.isStarted);
+      const earlyOutcome = await this.waitForAdmission();
+      if (earlyOutcome !== undefined) return earlyOutcome;
+      const plan = await this.search.find(this.isAnswerStarted);
       const {exchange} = this.request;
       if (exchange.hasDisconnected()) return 'left';
       if (plan === undefined) return this.finishLost();
@@ -111,7 +110,7 @@
       if (permit.kind === 'held') {
         this.holds.add(permit);
         this.planner.recordHold(plan);
-        // There is an engine, and its limit lets streams through in turn.
+        // An engine exists and will admit the stream when its limit allows.
         this.search.end();
         continue;
       }
@@ -120,39 +119,40 @@
       if (result.kind === 'ended') {
         this.evidence.recordCompletion(plan.endpoint);
         this.parts.crashes.recordCompletion(this.request.content);
-        if (!this.isStarted) this.startAnswer();
+        if (!this.isAnswerStarted) this.startAnswer();
         exchange.endStream();
         return 'answered';
       }
-      this.record(plan, result);
-      await this.checkEnd(plan, result);
+      this.recordResult(plan, result);
+      await this.checkEndpointExit(plan, result);
       if (exchange.isExpired) return this.finishExpired();
-      this.repeatBar = this.repeats.findRetryDenial(result);
-      if (this.repeatBar !== undefined) return this.finishLost();
+      this.retryDenial = this.retries.findRetryDenial(result);
+      if (this.retryDenial !== undefined) return this.finishLost();
     }
   }
 
-  /** Waits until the next attempt may run; gives the outcome if it may not. */
-  private async waitAdmitted(): Promise<string | undefined> {
+  /** Waits until the next attempt may run; returns the outcome if it can't. */
+  private async waitForAdmission(): Promise<string | undefined> {
     const {exchange} = this.request;
-    const mostMs = this.isStarted ? Infinity : MAX_BUSY_WAIT_MS;
-    const admission = await this.suspect.admit(exchange.signal, mostMs);
+    const maxWaitMs = this.isAnswerStarted ? Infinity : MAX_BUSY_WAIT_MS;
+    const admission = await this.suspect.admit(exchange.signal, maxWaitMs);
     if (exchange.hasDisconnected()) return 'left';
     if (exchange.isExpired) return this.finishExpired();
     if (admission === 'admitted') return undefined;
-    this.repeatBar = admission === 'busy' ? 'content_busy' : 'content_refused';
+    this.retryDenial =
+      admission === 'busy' ? 'content_busy' : 'content_refused';
     return this.finishLost();
   }
 
-  /** Gives what the line of the request's end tells of its events. */
+  /** Lists the event timings for the log line of the request's end. */
   listFigures(): LogFields {
     return this.report.listFigures();
   }
 
   private async admit(plan: AttemptPlan): Promise<SendAdmission> {
-    const isBegun = this.progress.lastEventId !== undefined;
+    const isResumed = this.progress.lastEventId !== undefined;
     const {signal} = this.request.exchange;
-    return admitAttempt(this.parts, plan, isBegun, signal);
+    return admitAttempt(this.parts, plan, isResumed, signal);
   }
 
   private async runAttempt(
@@ -171,17 +171,17 @@
         memorySource === undefined ? this.planner.countUnread(endpoint) : 0,
       expectedTokens,
     };
-    const keeper = this.createKeeper(plan);
+    const replicator = this.createReplicator(plan);
     const backupClaim = {running: 0, unreadTokens: 0, expectedTokens};
     endpoint.addClaim(claim);
     backup?.addClaim(backupClaim);
     this.parts.endpoints.peers.uses.publishPlaced();
-    const attempt = this.createAttempt(plan, claim, keeper);
+    const attempt = this.createAttempt(plan, claim, replicator);
     const now = this.parts.clock.getNow();
     this.evidence.recordSend();
     const keptTokens = this.planner.countCachedTokens(endpoint);
     this.report.recordSend(plan, this.progress.lastEventId, keptTokens);
-    let isCopyNeeded = true;
+    let isReplicaNeeded = true;
     try {
       const lines = this.parts.codec.encodeSend(exchange.lines, {
         endpointId: endpoint.endpointId,
@@ -194,11 +194,11 @@
       const {method, path} = exchange;
       const send = {permit, requestId, method, path, lines, body};
       const result = await attempt.run(send);
-      isCopyNeeded = result.kind !== 'ended' && result.kind !== 'stopped';
+      isReplicaNeeded = result.kind !== 'ended' && result.kind !== 'stopped';
       return result;
     } finally {
-      keeper.stop(isCopyNeeded);
-      this.planner.setReplica(keeper.findReplica());
+      replicator.stop(isReplicaNeeded);
+      this.planner.setReplica(replicator.findReplica());
       endpoint.releaseClaim(claim);
       backup?.releaseClaim(backupClaim);
       this.parts.endpoints.peers.uses.publishChanged();
@@ -208,7 +208,7 @@
   private createAttempt(
     plan: AttemptPlan,
     claim: UseClaim,
-    keeper: KvCacheReplicator,
+    replicator: KvCacheReplicator,
   ): StreamAttempt {
     const attempt: StreamAttempt = new StreamAttempt(
       this.parts,
@@ -221,8 +221,8 @@
         },
         handleEvents: (events) => {
           this.markPromptRead(plan.endpoint, claim);
-          keeper.start();
-          return this.passOn(plan, events, attempt);
+          replicator.start();
+          return this.passToCaller(plan, events, attempt);
         },
       },
       this.request.exchange.signal,
@@ -230,14 +230,14 @@
     return attempt;
   }
 
-  /** The first events show that the prompt was read. */
+  /** Marks the prompt as processed, which the first events imply. */
   private markPromptRead(endpoint: EndpointRecord, claim: UseClaim): void {
     if (claim.unreadTokens === 0) return;
     endpoint.markPromptRead(claim);
     this.parts.endpoints.peers.uses.publishChanged();
   }
 
-  private createKeeper({endpoint, backup}: AttemptPlan): KvCacheReplicator {
+  private createReplicator({endpoint, backup}: AttemptPlan): KvCacheReplicator {
     const engineRequest = this.planner.createEngineRequest();
     const {requestId} = this.request;
     return new KvCacheReplicator(
@@ -249,8 +249,8 @@
     );
   }
 
-  /** Passes events to the caller, each once and in order. */
-  private passOn(
+  /** Writes events to the caller, each once and in order. */
+  private passToCaller(
     plan: AttemptPlan,
     events: readonly WholeEvent[],
     attempt: StreamAttempt,
@@ -267,7 +267,7 @@
     if (hasGap) attempt.end('events are missing');
     const [first] = fresh;
     if (first === undefined) return undefined;
-    if (!this.isStarted) this.startAnswer();
+    if (!this.isAnswerStarted) this.startAnswer();
     const bytes = fresh.length === 1 ? first : Buffer.concat(fresh);
     const hasRoom = exchange.writeStream(bytes);
     return hasRoom ? undefined : exchange.waitForDrain();
@@ -275,20 +275,20 @@
 
   private startAnswer(): void {
     if (this.head === undefined) return;
-    this.isStarted = true;
+    this.isAnswerStarted = true;
     this.request.exchange.startStream(this.head.status, this.head.lines);
   }
 
-  private record(plan: AttemptPlan, result: AttemptResult): void {
+  private recordResult(plan: AttemptPlan, result: AttemptResult): void {
     const {endpoint} = plan;
     if (result.kind === 'ended') return;
     this.planner.recordAttemptEnd(endpoint, result.kind === 'lost');
     this.progress.startAfterLoss();
     this.lossDetail = getAttemptDetail(result);
     const hasRun = hasPossiblyRun(result);
-    this.repeats.record(result);
+    this.retries.record(result);
     if (result.kind === 'failed') {
-      this.last = result.answer;
+      this.lastAnswer = result.answer;
       this.evidence.recordFailure(endpoint);
     }
     if (result.kind === 'stopped') return;
@@ -301,11 +301,11 @@
   }
 
   /**
-   * Finds out whether the engine of a lost attempt ended under it. It is waited for
-   * where the next attempt reads its prompt anew, which takes far longer; a stream
-   * that goes on from a copy is not held up.
+   * Checks whether the engine of a lost attempt exited. The stream waits for
+   * that only if its next attempt must process the prompt again, which takes
+   * far longer; a stream that resumes from a replica is not delayed.
    */
-  private async checkEnd(
+  private async checkEndpointExit(
     plan: AttemptPlan,
     result: AttemptResult,
   ): Promise<void> {
@@ -314,13 +314,13 @@
     const {requestId, content, exchange} = this.request;
     const {endpoint} = plan;
     const run = {requestId, content, endpoint};
-    const mostMs = this.planner.hasReplica ? 0 : MAX_END_WAIT_MS;
-    await lostRuns.record(run, mostMs, exchange.signal);
+    const maxWaitMs = this.planner.hasReplica ? 0 : MAX_EXIT_CHECK_WAIT_MS;
+    await lostRuns.record(run, maxWaitMs, exchange.signal);
   }
 
   private finishExpired(): string {
     this.finishWith(
-      this.repeats.mayHaveRun
+      this.retries.mayHaveRun
         ? GATEWAY_ERRORS.create('timed_out', {ms: this.route.timeoutMs})
         : createNotRun('not_run_in_time', this.service, this.parts.random),
     );
@@ -329,21 +329,21 @@
 
   private finishLost(): string {
     const {exchange} = this.request;
-    if (!this.isStarted && this.last !== undefined) {
-      exchange.sendAnswer(this.last);
+    if (!this.isAnswerStarted && this.lastAnswer !== undefined) {
+      exchange.sendAnswer(this.lastAnswer);
       return 'failed';
     }
-    const {mayHaveRun} = this.repeats;
-    this.finishWith(this.createLoss());
+    const {mayHaveRun} = this.retries;
+    this.finishWith(this.createLossError());
     return mayHaveRun ? 'lost' : 'refused';
   }
 
-  private createLoss(): KnownError {
-    const {mayHaveRun, isRefused} = this.repeats;
+  private createLossError(): KnownError {
+    const {mayHaveRun, isRefused} = this.retries;
     if (isRefused) return createRefused(this.request.content, mayHaveRun);
     const detail = this.lossDetail;
     if (mayHaveRun) return GATEWAY_ERRORS.create('stream_lost', {detail});
-    if (this.repeatBar === 'content_busy') {
+    if (this.retryDenial === 'content_busy') {
       return createBusy(this.request.content, this.parts.random);
     }
     return this.holds.createError(this.service);
@@ -351,17 +351,17 @@
 
   private finishWith(error: KnownError): void {
     const {exchange, requestId} = this.request;
-    if (this.isStarted) exchange.failStream();
+    if (this.isAnswerStarted) exchange.failStream();
     else exchange.refuse(error, false);
     this.parts.log.writeInfo('A stream was not finished.', {
       request: requestId,
       service: this.service,
       kind: error.kind,
-      started: this.isStarted,
-      runs: this.repeats.runs,
-      notRun: this.repeats.notRun,
+      started: this.isAnswerStarted,
+      runs: this.retries.runs,
+      notRun: this.retries.notRun,
       detail: this.lossDetail,
-      bar: this.repeatBar ?? 'no_engine',
+      bar: this.retryDenial ?? 'no_engine',
       crashes: this.parts.crashes.countCrashes(this.request.content),
       content: this.request.content,
       ...this.holds.listFields(),
--- a/packages/gateway/src/serving/stream_evidence.ts
+++ b/packages/gateway/src/serving/stream_evidence.ts
@@ -1,13 +1,13 @@
 /**
- * What one stream says of the endpoints that ran it, for roll-outs: whether it
- * was failed, the time to its first event, and the pace of its events.
+ * Reports to rollouts how endpoints answered one stream: whether they failed,
+ * the time to the first event, and the mean time between events.
  */
 import type {Clock} from '@irisdock/kernel';
 import type {EndpointRecord} from './endpoint_record.js';
 import type {Rollouts} from './rollouts.js';
 import type {StreamReport} from './stream_report.js';
 
-/** Tells of one stream. */
+/** Reports the answers to one stream. */
 export class StreamEvidence {
   private sentAt = 0;
 
@@ -18,22 +18,22 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Takes it that the stream was sent to an endpoint. */
+  /** Records that the stream was sent to an endpoint. */
   recordSend(): void {
     this.sentAt = this.clock.getNow();
   }
 
-  /** Takes the first event of the stream. */
+  /** Records the first event of the stream. */
   recordFirstEvent(endpoint: EndpointRecord): void {
     this.record(endpoint, this.route, false, this.clock.getNow() - this.sentAt);
   }
 
-  /** Takes it that the endpoint answered with a failure of its own. */
+  /** Records that the endpoint answered with an error status. */
   recordFailure(endpoint: EndpointRecord): void {
     this.record(endpoint, this.route, true, 0);
   }
 
-  /** Takes the end; the pace is judged beside the time to the first event. */
+  /** Records the pace of a completed stream, as if it were another route. */
   recordCompletion(endpoint: EndpointRecord): void {
     const ms = this.report.getPaceMs();
     if (ms === undefined) return;
--- a/packages/gateway/src/serving/stream_planner.ts
+++ b/packages/gateway/src/serving/stream_planner.ts
@@ -1,7 +1,7 @@
 /**
- * Where the attempts of one stream run: the first on the engine that suits its
- * prompt, each later one where a copy of the run's memory is kept, or else
- * away from the engines and failure domains that were lost.
+ * Places the attempts of one stream: the first on the engine that suits its
+ * prompt best, each later one on the engine that holds a replica of the KV
+ * cache, or else outside the engines and failure domains that were lost.
  */
 import {
   chooseApart,
@@ -19,25 +19,25 @@
 import type {ServingParts} from './serving_parts.js';
 import type {AttemptPlan} from './stream_attempt.js';
 
-/** The part of the tokens allowed that is expected without a caller's guess. */
-const EXPECTED_OUTPUT_PART = 0.5;
+/** Expected fraction of the allowed output tokens without a caller's hint. */
+const EXPECTED_OUTPUT_FRACTION = 0.5;
 
 /**
- * Crashes from which on a stream runs alone. One is had by all that ran on an
- * engine that ended; who has two is probably the cause.
+ * A stream with this many crashes gets an engine for itself. Every stream on an
+ * engine that exits is counted one crash; one with two is probably the cause.
  */
-const ALONE_FROM = 2;
+const MIN_CRASHES_FOR_EXCLUSIVE = 2;
 
 /** Plans the attempts of one stream. */
 export class StreamPlanner {
   private readonly excluded = new Set<string>();
   private readonly avoidedDomains = new Set<string>();
-  /** Engines whose limits held this stream back; they may let it through later. */
+  /** Engines whose limits held this stream back for now. */
   private readonly held = new Set<string>();
-  private copy: KvCacheReplica | undefined;
-  /** Engines whose load is known here; undefined when that is all of them. */
-  private known: readonly EndpointRecord[] | undefined;
-  private trial: readonly EndpointRecord[] | undefined;
+  private replica: KvCacheReplica | undefined;
+  /** Engines whose load this host knows; undefined when it knows all. */
+  private knownLoadEngines: readonly EndpointRecord[] | undefined;
+  private trialEngines: readonly EndpointRecord[] | undefined;
   private keptTokens: ReadonlyMap<string, number> = new Map();
   private readonly terms: RequestTerms;
   private readonly content: string;
@@ -51,45 +51,46 @@
     this.content = content;
   }
 
-  /** Whether the memory of the attempt that ended is kept elsewhere. */
+  /** Whether another engine holds the KV cache of the attempt that ended. */
   get hasReplica(): boolean {
-    return this.findHolder(this.copy) !== undefined;
+    return this.findReplicaHolder(this.replica) !== undefined;
   }
 
-  /** Tokens that the stream will probably take in memory. */
+  /** The expected size of the stream's KV cache, in tokens. */
   get expectedTokens(): number {
     const {promptTokens, maxOutputTokens, guessedOutputTokens} = this.terms;
-    const guess = guessedOutputTokens ?? maxOutputTokens * EXPECTED_OUTPUT_PART;
+    const guess =
+      guessedOutputTokens ?? maxOutputTokens * EXPECTED_OUTPUT_FRACTION;
     return promptTokens + guess;
   }
 
-  /** Takes it that an attempt ended early on an engine. */
+  /** Records that an attempt ended early on an engine. */
   recordAttemptEnd(endpoint: EndpointRecord, isLost: boolean): void {
     this.excluded.add(endpoint.instanceId);
-    // Whole failure domains are lost at once.
+    // A failure domain may be lost as a whole.
     if (isLost) this.avoidedDomains.add(endpoint.failureDomain);
   }
 
-  /** Takes it that an engine's limit let no attempt through. */
+  /** Records that an engine's limit held an attempt back. */
   recordHold({endpoint, memorySource}: AttemptPlan): void {
     this.held.add(endpoint.instanceId);
     if (memorySource === undefined) return;
-    this.copy = {source: memorySource, holder: endpoint};
+    this.replica = {source: memorySource, holder: endpoint};
   }
 
-  /** Looks again at engines whose limits held the stream back. */
+  /** Makes engines whose limits held the stream back eligible again. */
   dropHolds(): void {
     this.held.clear();
   }
 
-  /** Takes where the memory of the attempt that ended is kept. */
-  setReplica(copy: KvCacheReplica | undefined): void {
-    this.copy = copy;
+  /** Sets the KV cache replica of the attempt that ended. */
+  setReplica(replica: KvCacheReplica | undefined): void {
+    this.replica = replica;
   }
 
   /**
-   * Looks for engines that keep the prompt of a caller that comes again; for
-   * others there is nothing to find, and no time is spent.
+   * Finds the engines that have the prompt of a reconnecting caller in their
+   * prompt cache. Does nothing for callers that did not reconnect.
    */
   async findCachedPrompt(): Promise<void> {
     const {lastEventId, promptParts} = this.terms;
@@ -100,12 +101,13 @@
   }
 
   /**
-   * Finds out what runs on some engines that are not at home in this host's
-   * group, where its own are busy or gone, and on those that keep the prompt.
+   * Asks for the load of engines outside this host's home group: of a random
+   * sample when the engines of the group are busy or gone, and of those that
+   * have the prompt in their cache.
    */
   async pollRemoteEngines(): Promise<void> {
-    this.known = undefined;
-    if (this.findHolder(this.copy) !== undefined) return;
+    this.knownLoadEngines = undefined;
+    if (this.findReplicaHolder(this.replica) !== undefined) return;
     const {endpoints, random} = this.parts;
     const {groups, questions} = endpoints.peers;
     const usable = listLiveEndpoints(this.parts, this.service);
@@ -114,58 +116,60 @@
     const home = usable.filter(isHome);
     if (home.length === usable.length) return;
     const request = this.createEngineRequest();
-    const others = usable.filter((engine) => this.isOpen(engine, isHome));
-    const keepers = others.filter(
+    const others = usable.filter((engine) =>
+      this.isEligibleRemote(engine, isHome),
+    );
+    const cachingEngines = others.filter(
       (engine) => this.countCachedTokens(engine) > 0,
     );
     const count = decideFarCount(home, request);
-    const drawn = getSample(others, count, random);
-    const asked = new Set([...drawn, ...keepers]);
-    if (asked.size === 0) {
-      this.known = home;
+    const sampled = getSample(others, count, random);
+    const polled = new Set([...sampled, ...cachingEngines]);
+    if (polled.size === 0) {
+      this.knownLoadEngines = home;
       return;
     }
-    const ids = [...asked].map(({instanceId}) => instanceId);
-    const known = [...home];
+    const ids = [...polled].map(({instanceId}) => instanceId);
+    const knownLoadEngines = [...home];
     for (const {instanceId, failures, ...use} of await questions.poll(ids)) {
       const engine = endpoints.find(instanceId);
       if (engine?.isUsable !== true) continue;
       engine.setHomeGroupUse(use, failures);
-      known.push(engine);
+      knownLoadEngines.push(engine);
     }
-    this.known = known;
+    this.knownLoadEngines = knownLoadEngines;
   }
 
-  /** Takes it that the first attempt is a trial of a version on one of these. */
+  /** Makes the first attempt a trial of a new version on one of the engines. */
   setTrial(engines: readonly EndpointRecord[] | undefined): void {
-    this.trial = engines;
+    this.trialEngines = engines;
   }
 
-  /** Chooses where the next attempt runs; undefined when there is no engine. */
+  /** Places the next attempt; undefined when there is no engine for it. */
   choosePlan(): AttemptPlan | undefined {
-    const trial = this.chooseTrial();
-    if (trial !== undefined) return trial;
+    const trialPlan = this.chooseTrial();
+    if (trialPlan !== undefined) return trialPlan;
     const usable = listLiveEndpoints(this.parts, this.service);
     const request = this.createEngineRequest();
-    const {copy} = this;
-    this.copy = undefined;
-    const holder = this.findHolder(copy);
+    const {replica} = this;
+    this.replica = undefined;
+    const holder = this.findReplicaHolder(replica);
     const endpoint =
       holder ??
-      this.chooseApart(usable, request) ??
+      this.chooseIsolated(usable, request) ??
       this.takeUnconfirmed(usable) ??
-      chooseEngine(this.known ?? usable, request) ??
+      chooseEngine(this.knownLoadEngines ?? usable, request) ??
       chooseEngine(usable, request);
     if (endpoint === undefined) return undefined;
     const backup = this.hasBackups()
       ? chooseBackup(usable, endpoint, request)
       : undefined;
-    const memorySource = holder === undefined ? undefined : copy?.source;
+    const memorySource = holder === undefined ? undefined : replica?.source;
     return {endpoint, backup, memorySource};
   }
 
-  /** Chooses for a stream under which an engine ended; undefined for others. */
-  private chooseApart(
+  /** Chooses the engine of a stream that crashed one; undefined for others. */
+  private chooseIsolated(
     usable: readonly EndpointRecord[],
     request: EngineRequest,
   ): EndpointRecord | undefined {
@@ -174,7 +178,7 @@
     return chooseApart(usable, request, content);
   }
 
-  /** Takes an engine whose limit may be over; only for streams that begin. */
+  /** Takes an engine whose limit may have been lifted; only for new streams. */
   private takeUnconfirmed(
     usable: readonly EndpointRecord[],
   ): EndpointRecord | undefined {
@@ -184,30 +188,30 @@
   }
 
   /**
-   * Gives the slots that the stream takes of an engine by the account of all
-   * hosts: every one if engines ended under it again, so that no other stream is
-   * placed beside it.
+   * Counts the slots that the stream claims on an engine, as seen by all hosts:
+   * all of them if the stream crashed engines repeatedly, so that no other
+   * stream is placed beside it.
    */
   countClaimedSlots(endpoint: EndpointRecord): number {
     const crashes = this.parts.crashes.countCrashes(this.content);
-    return crashes >= ALONE_FROM ? endpoint.slots : 1;
+    return crashes >= MIN_CRASHES_FOR_EXCLUSIVE ? endpoint.slots : 1;
   }
 
   private chooseTrial(): AttemptPlan | undefined {
-    const {trial} = this;
-    this.trial = undefined;
-    if (trial === undefined) return undefined;
-    const endpoint = chooseEngine(trial, this.createEngineRequest());
+    const {trialEngines} = this;
+    this.trialEngines = undefined;
+    if (trialEngines === undefined) return undefined;
+    const endpoint = chooseEngine(trialEngines, this.createEngineRequest());
     if (endpoint === undefined) return undefined;
     return {endpoint, backup: undefined, memorySource: undefined};
   }
 
-  /** Gives the tokens of the prompt that an engine keeps. */
+  /** Counts the tokens of the prompt that an engine has in its cache. */
   countCachedTokens(endpoint: EndpointRecord): number {
     return this.keptTokens.get(endpoint.instanceId) ?? 0;
   }
 
-  /** Gives the tokens of the prompt that an engine has to read. */
+  /** Counts the tokens of the prompt that an engine has to process. */
   countUnread(endpoint: EndpointRecord): number {
     return Math.max(
       0,
@@ -215,7 +219,7 @@
     );
   }
 
-  /** Gives what the stream asks of an engine now. */
+  /** Describes what the stream now requires of an engine. */
   createEngineRequest(): EngineRequest {
     return {
       tokens: this.expectedTokens,
@@ -227,8 +231,8 @@
     };
   }
 
-  /** Whether an engine of another group may run the stream. */
-  private isOpen(
+  /** Whether an engine outside the home group may run the stream. */
+  private isEligibleRemote(
     engine: EndpointRecord,
     isHome: (engine: EndpointRecord) => boolean,
   ): boolean {
@@ -244,15 +248,15 @@
     return this.excluded.has(instanceId) || this.held.has(instanceId);
   }
 
-  /** Finds the engine that keeps a copy, if it may get work. */
-  private findHolder(
-    copy: KvCacheReplica | undefined,
+  /** Finds the engine that holds a replica, if it may take requests. */
+  private findReplicaHolder(
+    replica: KvCacheReplica | undefined,
   ): EndpointRecord | undefined {
-    if (copy?.holder.isUsable !== true) return undefined;
-    if (this.isExcluded(copy.holder)) return undefined;
-    const {instanceId} = copy.holder;
+    if (replica?.holder.isUsable !== true) return undefined;
+    if (this.isExcluded(replica.holder)) return undefined;
+    const {instanceId} = replica.holder;
     if (this.parts.crashes.hasCrashed(instanceId)) return undefined;
-    return copy.holder;
+    return replica.holder;
   }
 
   private hasBackups(): boolean {
--- a/packages/gateway/src/serving/stream_report.ts
+++ b/packages/gateway/src/serving/stream_report.ts
@@ -1,9 +1,9 @@
-/** What the logs and figures are told of one stream. */
+/** Writes the log lines and metrics of one stream. */
 import type {LogFields} from '@irisdock/kernel';
 import type {ServingParts} from './serving_parts.js';
 import type {AttemptPlan, AttemptResult} from './stream_attempt.js';
 
-/** Tells of one stream. */
+/** Reports the attempts and events of one stream. */
 export class StreamReport {
   private lastEventAt: number | undefined;
   private firstEventAt = 0;
@@ -19,7 +19,7 @@
     private readonly startedAt: number,
   ) {}
 
-  /** Takes it that an attempt begins. */
+  /** Records the start of an attempt. */
   recordSend(
     plan: AttemptPlan,
     lastEventId: number | undefined,
@@ -39,7 +39,7 @@
     });
   }
 
-  /** Takes it that events arrived; true for the first of the stream. */
+  /** Records that events arrived; true for the first events of the stream. */
   recordEvents(
     plan: AttemptPlan,
     lastEventId: number | undefined,
@@ -65,14 +65,14 @@
     return true;
   }
 
-  /** Gives the mean time between arrivals, in ms; undefined below two. */
+  /** Computes the mean time between arrivals, in ms; undefined below two. */
   getPaceMs(): number | undefined {
     const {arrivals, firstEventAt, lastEventAt} = this;
     if (lastEventAt === undefined || arrivals < 2) return undefined;
     return (lastEventAt - firstEventAt) / (arrivals - 1);
   }
 
-  /** Gives what the line of the request's end tells of its events, in ms. */
+  /** Lists the event timings for the log line of the request's end, in ms. */
   listFigures(): LogFields {
     const {firstEventMs, longestPauseMs} = this;
     if (firstEventMs === undefined) return {};
@@ -82,7 +82,7 @@
     };
   }
 
-  /** Takes it that an attempt ended early. */
+  /** Records that an attempt ended early. */
   recordLoss(
     plan: AttemptPlan,
     result: AttemptResult,
@@ -114,7 +114,7 @@
   ): void {
     const since = this.lastEventAt ?? lostAt;
     this.parts.metrics.resumeSeconds.observe((now - since) / 1000);
-    this.parts.log.writeInfo('A stream goes on.', {
+    this.parts.log.writeInfo('A stream resumed after a loss.', {
       request: this.requestId,
       endpoint: plan.endpoint.instanceId,
       pauseMs: Math.round(now - since),
--- a/packages/gateway/src/serving/stream_retries.ts
+++ b/packages/gateway/src/serving/stream_retries.ts
@@ -1,7 +1,7 @@
 /**
- * Whether a stream may be sent to another engine, by what became of its attempts so
- * far: as often as its route allows, within the service's budget of repeats, and
- * never once its content is known to end the engines that run it.
+ * Decides whether a stream may be sent to another engine: as often as its route
+ * allows, within the service's retry budget, and never once its content is
+ * known to crash engines.
  */
 import {FAILED_STATUS} from '../channels/answer_check.js';
 import type {ServingRoute} from '../model/serving_configuration.js';
@@ -10,12 +10,12 @@
 import type {ServingParts} from './serving_parts.js';
 import {hasPossiblyRun, type AttemptResult} from './stream_attempt.js';
 
-/** Sends that certainly did not run may be repeated this often. */
+/** How many attempts that certainly did not run may be retried. */
 const MAX_NOT_RUN = 6;
-/** An attempt with less time than this would bring nothing, in ms. */
+/** An attempt with less time left than this would not be answered, in ms. */
 const MIN_ATTEMPT_MS = 200;
 
-/** Why a stream is not sent again. */
+/** Why a stream is not retried. */
 export type RetryDenial =
   | 'answered'
   | 'attempts_spent'
@@ -27,11 +27,11 @@
   | 'not_resumable'
   | 'time_spent';
 
-/** Counts the attempts of one stream. */
+/** Counts the attempts of one stream and decides on retries. */
 export class StreamRetries {
-  /** Attempts that ran or may have run. */
+  /** The number of attempts that ran or may have run. */
   runs = 0;
-  /** Attempts that certainly did not run. */
+  /** The number of attempts that certainly did not run. */
   notRun = 0;
 
   constructor(
@@ -46,18 +46,18 @@
     return this.runs > 0;
   }
 
-  /** Whether the content ended too many engines, here or elsewhere. */
+  /** Whether the content crashed too many engines, here or on other hosts. */
   get isRefused(): boolean {
     return this.parts.crashes.isRefused(this.request.content);
   }
 
-  /** Takes an attempt that ended early. */
+  /** Counts an attempt that ended early. */
   record(result: AttemptResult): void {
     if (hasPossiblyRun(result)) this.runs++;
     else this.notRun++;
   }
 
-  /** Finds why there may be no attempt after one that ended like this. */
+  /** Returns why there is no retry; takes one from the budget otherwise. */
   findRetryDenial(result: AttemptResult): RetryDenial | undefined {
     const {route, request, parts} = this;
     if (!route.isResumable && this.mayHaveRun) return 'not_resumable';
--- a/packages/gateway/src/serving/successors.ts
+++ b/packages/gateway/src/serving/successors.ts
@@ -1,12 +1,12 @@
 /**
- * Engines that started anew while the store is away. A send to the old start of
- * an engine is answered with the id of the new one, whose entry the store will
- * list only once it is back. Until then the new start is used in the place of
- * the old one, if it is known what it serves: an address may be given to
- * another service, so the engine is asked, and only where a single service of
- * the configuration has engines does an engine's own report tell its service.
- * The gain: no engine stands idle for that; without it four of 13 did for 8 s,
- * and up to 11 streams met at the others (by the logs of one day).
+ * Finds engines that restarted while the store is unavailable. A send to the
+ * old instance of an engine is answered with the id of the new one, which the
+ * store lists only once it is back. Until then the new instance replaces the
+ * old one, provided that its service is known. An address may be reassigned to
+ * another service, so the engine is asked for its report; the report identifies
+ * the service only if a single service of the configuration has engines.
+ * Without this, restarted engines stay idle while the store is unavailable:
+ * four of 13 for 8 s in one case, while up to 11 streams shared another engine.
  */
 import type {Logger} from '@irisdock/kernel';
 import type {EngineReportCodec} from '../model/request_terms.js';
@@ -15,10 +15,10 @@
 import type {EndpointRecord} from './endpoint_record.js';
 import type {EngineClient} from './engine_client.js';
 
-/** How long the new start may take to answer, in ms; it takes a few mostly. */
-const ANSWER_MS = 150;
+/** The timeout of the new instance's report, in ms; it mostly takes a few. */
+const REPORT_TIMEOUT_MS = 150;
 
-/** What the finder works with. */
+/** Dependencies of the finder. */
 export interface SuccessorParts {
   readonly engineClient: EngineClient;
   readonly codec: EngineReportCodec;
@@ -27,26 +27,30 @@
   readonly log: Logger;
 }
 
-/** Finds and takes in the new starts of engines. */
+/** Adds the new instances of restarted engines. */
 export class SuccessorFinder {
   constructor(private readonly parts: SuccessorParts) {}
 
   /**
-   * Takes in the start that answers at the address of an engine.
+   * Adds the new instance that answers at the address of an engine.
    *
-   * @param endpointId The id that it gave.
+   * @param endpointId The id of the new instance.
    */
   async accept(old: EndpointRecord, endpointId: string): Promise<void> {
     const {endpoints, engineClient: engines, codec, log} = this.parts;
     if (!endpoints.isStoreAway || endpoints.hasEndpoint(endpointId)) return;
     const {address, entry} = old;
     if (!this.isOnlyEngineService(entry.service)) return;
-    const answer = await engines.send(old, codec.encodeReport(), ANSWER_MS);
+    const answer = await engines.send(
+      old,
+      codec.encodeReport(),
+      REPORT_TIMEOUT_MS,
+    );
     const report =
       answer === undefined
         ? undefined
         : codec.decodeReport(answer.status, answer.body);
-    log.writeInfo('An engine started anew while the store is away.', {
+    log.writeInfo('An engine restarted while the store is unavailable.', {
       endpoint: endpointId,
       before: old.instanceId,
       address,
--- a/packages/gateway/src/serving/suspect_run.ts
+++ b/packages/gateway/src/serving/suspect_run.ts
@@ -1,18 +1,18 @@
 /**
- * Admits the runs of a request whose content is suspected to end its endpoints:
- * one at a time over all hosts, so that the verdict on one run is known before the
- * next one starts. Other requests are not delayed.
+ * Admits the runs of a request whose content is suspected to crash endpoints.
+ * Over all hosts they run one at a time, so that the verdict on one run is
+ * known before the next starts. Other requests are not delayed.
  */
 import type {Clock, Logger} from '@irisdock/kernel';
 import type {CrashRecords} from './crash_records.js';
 import {REPORT_WAIT_MS, type LostRuns} from './lost_runs.js';
 
-/** A lease that is held. */
+/** A lease that this host holds. */
 export interface RunLease {
   release(): void;
 }
 
-/** A request for the lease of a content. */
+/** A request for the lease on a content. */
 export interface LeaseRequest {
   readonly content: string;
   readonly signal: AbortSignal;
@@ -22,17 +22,17 @@
   readonly isNeeded: () => boolean;
 }
 
-/** What became of a request for a lease. */
+/** The outcome of a request for a lease. */
 export type LeaseOutcome =
   | {
       readonly kind: 'granted';
       readonly lease: RunLease;
-      /** The starts of endpoints that the issuer knows to have ended. */
+      /** Endpoint instances that the content crashed, as the issuer knows. */
       readonly instanceIds: readonly string[];
     }
-  /** Another run held it for the whole time. */
+  /** Another run held the lease for the whole wait. */
   | {readonly kind: 'held'}
-  /** The content may run, or not run, without a lease. */
+  /** The content needs no lease any more, or its issuer does not answer. */
   | {readonly kind: 'not-needed'};
 
 /** Grants leases on runs. */
@@ -43,9 +43,9 @@
 /** Whether the next run may start. */
 export type RunAdmissionResult =
   | 'admitted'
-  /** Another run of the content is under way. */
+  /** Another run of the content is in progress. */
   | 'busy'
-  /** The content ended too many endpoints. */
+  /** The content crashed too many endpoints. */
   | 'refused';
 
 /** Dependencies of the admission. */
@@ -57,7 +57,7 @@
   readonly log: Logger;
 }
 
-/** The runs of one request. */
+/** Admits the runs of one request. */
 export class SuspectRunAdmission {
   private lease: RunLease | undefined;
 
@@ -72,38 +72,41 @@
   /**
    * Waits until the next run may start.
    *
-   * @param mostMs The longest wait for another run of the content.
+   * @param maxWaitMs The longest wait for another run of the content.
    */
   async admit(
     signal: AbortSignal,
-    mostMs: number,
+    maxWaitMs: number,
   ): Promise<RunAdmissionResult> {
     const {crashes, lostRuns, clock} = this.parts;
     const {content} = this.request;
     if (!lostRuns.isSuspected(content)) return 'admitted';
     const isAcquired =
-      this.lease !== undefined || (await this.acquire(signal, mostMs));
+      this.lease !== undefined || (await this.acquire(signal, maxWaitMs));
     if (!isAcquired) return 'busy';
     if (!crashes.isRefused(content)) return 'admitted';
-    // Reports of what else ran on the endpoints may still arrive.
+    // Reports on what else ran on the crashed endpoints may still arrive.
     await clock.wait(REPORT_WAIT_MS, signal);
     return crashes.isRefused(content) ? 'refused' : 'admitted';
   }
 
-  /** Ends the lease, if there is one. */
+  /** Releases the lease, if one is held. */
   close(): void {
     this.lease?.release();
     this.lease = undefined;
   }
 
-  private async acquire(signal: AbortSignal, mostMs: number): Promise<boolean> {
+  private async acquire(
+    signal: AbortSignal,
+    maxWaitMs: number,
+  ): Promise<boolean> {
     const {crashes, lostRuns, runLeases, clock, log} = this.parts;
     const {content, requestId} = this.request;
     const startedAt = clock.getNow();
     const outcome = await runLeases.acquire({
       content,
       signal,
-      maxWaitMs: mostMs,
+      maxWaitMs,
       isNeeded: () => {
         return lostRuns.isSuspected(content) && !crashes.isRefused(content);
       },
--- a/packages/gateway/tests/endpoint_exit_check.test.ts
+++ b/packages/gateway/tests/endpoint_exit_check.test.ts
@@ -1,4 +1,4 @@
-/** What became of an endpoint, by what it and its neighbors answer. */
+/** Exit checks by the answers of the endpoint and its neighbors. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {RoarrLogger, SeededRandom} from '@irisdock/kernel';
@@ -10,10 +10,10 @@
 const SEEDS = 30;
 
 /**
- * Creates a check of endpoints of one failure domain that have all ended.
+ * Creates a check for endpoints of one failure domain that have all exited.
  *
- * @param crashed The endpoints that are known to have ended under a run.
- * @param silent Endpoints that run and do not answer in time.
+ * @param crashed The endpoints that are known to have crashed.
+ * @param silent Endpoints that run but don't answer in time.
  */
 function createCheck(
   all: readonly EndpointRecord[],
@@ -40,8 +40,8 @@
   });
 }
 
-describe('an endpoint that has ended', () => {
-  // Guards against crashes of neighbors that pass for the loss of their domain.
+describe('an endpoint that exited', () => {
+  // Guards against crashes of neighbors that look like the loss of the domain.
   it('is not lost with its domain when its neighbors crashed before', async () => {
     const all = ['a', 'b', 'c'].map((name) => createEndpoint(name));
     const [ended] = all;
@@ -52,7 +52,7 @@
     }
   });
 
-  it('is lost with its domain when its neighbors have ended too', async () => {
+  it('is lost with its domain when its neighbors exited too', async () => {
     const all = ['a', 'b', 'c', 'x', 'y'].map((name) => createEndpoint(name));
     const [ended] = all;
     assert.ok(ended);
@@ -62,8 +62,8 @@
     }
   });
 
-  // Guards against busy neighbors that pass for ended ones: the crash is not
-  // counted then, and the content ends further endpoints.
+  // Guards against busy neighbors that are taken for exited ones: the crash
+  // would not be counted, and the content would crash further endpoints.
   it('is not lost with its domain when its neighbors are silent', async () => {
     const all = ['a', 'b', 'c', 'd'].map((name) => createEndpoint(name));
     const [ended] = all;
@@ -74,8 +74,8 @@
     }
   });
 
-  // Guards against two contents that end two endpoints at the same moment.
-  it('is not lost with its domain when one neighbor is left to ask', async () => {
+  // Guards against two contents that crash two endpoints at the same moment.
+  it('is not lost with its domain when only one neighbor can be probed', async () => {
     const all = ['a', 'b', 'c', 'd'].map((name) => createEndpoint(name));
     const [ended] = all;
     assert.ok(ended);
--- a/packages/gateway/tests/endpoint_record.test.ts
+++ b/packages/gateway/tests/endpoint_record.test.ts
@@ -1,4 +1,4 @@
-/** What runs on an endpoint, against a version that adds it up each time. */
+/** The use of an endpoint, compared with an implementation that sums it anew. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import fc from 'fast-check';
@@ -10,23 +10,23 @@
 import {createEndpoint} from './fixtures/endpoints.js';
 
 const RUNS = {numRuns: 300, seed: 20_261_203};
-/** How long what hosts told counts, in ms, as the record has it. */
-const TOLD_MS = 2000;
+/** How long a report of another host is valid, in ms, as in the record. */
+const PEER_USE_TTL_MS = 2000;
 const HOSTS = ['host-a', 'host-b'];
 
 function createUse(running: number): EndpointUse {
   return {running, unreadTokens: 10 * running, expectedTokens: 20 * running};
 }
 
-/** Remembers all that was said, and adds it up. */
+/** Keeps all claims and reports, and sums them up for each count. */
 class NaiveUse {
   readonly claims: UseClaim[] = [];
-  readonly told = new Map<string, {use: EndpointUse; at: number}>();
+  readonly reports = new Map<string, {use: EndpointUse; at: number}>();
 
   count(now: number): EndpointUse {
     const uses: EndpointUse[] = [...this.claims];
-    for (const {use, at} of this.told.values()) {
-      if (now - at <= TOLD_MS) uses.push(use);
+    for (const {use, at} of this.reports.values()) {
+      if (now - at <= PEER_USE_TTL_MS) uses.push(use);
     }
     const add = (get: (use: EndpointUse) => number): number =>
       uses.reduce((total, use) => total + get(use), 0);
@@ -40,22 +40,22 @@
 
 const steps = fc.array(
   fc.record({
-    what: fc.constantFrom('add', 'read', 'drop', 'tell', 'end'),
+    action: fc.constantFrom('add', 'read', 'release', 'report', 'end'),
     size: fc.nat(3),
     waitMs: fc.constantFrom(0, 10, 500, 2500),
   }),
   {maxLength: 30},
 );
 
-describe('what runs on an endpoint', () => {
-  it('is the sum of what was claimed and told of late', () => {
+describe('the record of an endpoint', () => {
+  it('sums up the claims and the recent reports of other hosts', () => {
     fc.assert(
       fc.property(steps, (list) => {
         let now = 0;
         const record = createEndpoint('e', () => now);
         const naive = new NaiveUse();
-        for (const {what, size, waitMs} of list) {
-          applyStep(record, naive, what, size, now);
+        for (const {action, size, waitMs} of list) {
+          applyStep(record, naive, action, size, now);
           now += waitMs;
           const {streams, unreadTokens, expectedTokens} = record;
           assert.deepEqual(
@@ -68,15 +68,15 @@
     );
   });
 
-  it('is told as gone once, to whoever watches and to whoever comes later', () => {
+  it('calls each removal listener once, also if added after the removal', () => {
     const record = createEndpoint('e', () => 0);
-    const heard: string[] = [];
-    record.watchRemoval((cause) => heard.push(`first ${cause}`));
-    const ignore = record.watchRemoval(() => heard.push('ignored'));
-    ignore();
+    const calls: string[] = [];
+    record.watchRemoval((cause) => calls.push(`first ${cause}`));
+    const stopWatching = record.watchRemoval(() => calls.push('stopped'));
+    stopWatching();
     record.markRemoved('restarted');
-    record.watchRemoval((cause) => heard.push(`later ${cause}`));
-    assert.deepEqual(heard, ['first restarted', 'later restarted']);
+    record.watchRemoval((cause) => calls.push(`later ${cause}`));
+    assert.deepEqual(calls, ['first restarted', 'later restarted']);
     assert.equal(record.isUsable, false);
   });
 });
@@ -84,26 +84,26 @@
 function applyStep(
   record: EndpointRecord,
   naive: NaiveUse,
-  what: string,
+  action: string,
   size: number,
   now: number,
 ): void {
   const [claim] = naive.claims;
   const host = HOSTS[size % HOSTS.length] ?? '';
-  if (what === 'add') {
+  if (action === 'add') {
     const added = {...createUse(size)};
     naive.claims.push(added);
     record.addClaim(added);
-  } else if (what === 'read' && claim !== undefined) {
+  } else if (action === 'read' && claim !== undefined) {
     record.markPromptRead(claim);
-  } else if (what === 'drop' && claim !== undefined) {
+  } else if (action === 'release' && claim !== undefined) {
     naive.claims.shift();
     record.releaseClaim(claim);
-  } else if (what === 'tell') {
-    naive.told.set(host, {use: createUse(size), at: now});
+  } else if (action === 'report') {
+    naive.reports.set(host, {use: createUse(size), at: now});
     record.setPeerUse(host, createUse(size));
-  } else if (what === 'end') {
-    naive.told.delete(host);
+  } else if (action === 'end') {
+    naive.reports.delete(host);
     record.setPeerUse(host, undefined);
   }
 }
--- a/packages/gateway/tests/engine_groups.test.ts
+++ b/packages/gateway/tests/engine_groups.test.ts
@@ -1,4 +1,4 @@
-/** Which hosts get what is for a group, for all groups, and for an engine. */
+/** Which hosts receive messages for a group, all groups, or an engine. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {HostView, type HousedEngine} from '@irisdock/decisions';
@@ -53,7 +53,7 @@
 }
 
 describe('the groups of a host', () => {
-  it('let a change reach each group by few datagrams', () => {
+  it('let a change reach each group with few datagrams', () => {
     const groups = createGroups(195, 0);
     const near = groups.listGroup();
     const relays = groups.listRelays();
@@ -69,7 +69,7 @@
     assert.equal(new Set(relays).size, relays.length);
   });
 
-  it('are all hosts where hosts are few', () => {
+  it('contain all hosts if there are few', () => {
     const groups = createGroups(9, 4);
     assert.equal(groups.listGroup().length, 8);
     assert.deepEqual(groups.listRelays(), []);
--- a/packages/gateway/tests/lost_runs.test.ts
+++ b/packages/gateway/tests/lost_runs.test.ts
@@ -1,4 +1,4 @@
-/** When a lost run may be sent again, by what other hosts report meanwhile. */
+/** Whether a lost run may be retried, given reports that arrive meanwhile. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {CrashLedger, type Crash} from '@irisdock/decisions';
@@ -10,19 +10,19 @@
 import {createEndpoint} from './fixtures/endpoints.js';
 import {VirtualClock} from './fixtures/virtual_clock.js';
 
-const SOUND = 'a'.repeat(32);
-const BAD = 'b'.repeat(32);
-/** How long a report of another host is under way here, in ms. */
-const REPORT_MS = 12;
+const HARMLESS_CONTENT = 'a'.repeat(32);
+const CRASHING_CONTENT = 'b'.repeat(32);
+/** The delay until a report of another host arrives, in ms. */
+const REPORT_DELAY_MS = 12;
 
-interface Bed {
+interface Fixture {
   readonly clock: VirtualClock;
   readonly crashes: CrashRecords;
   readonly lostRuns: LostRuns;
 }
 
-/** Creates lost runs whose endpoints have all ended. */
-function createBed(): Bed {
+/** Creates a fixture whose endpoints have all exited. */
+function createFixture(): Fixture {
   const clock = new VirtualClock();
   const log = new RoarrLogger('test', 'off');
   const ledger = new CrashLedger({keepMs: 60_000, maxContents: 10});
@@ -43,29 +43,33 @@
   return ids.split('').map((instanceId) => ({content, instanceId}));
 }
 
-/** Loses a run of the sound content on its third endpoint; true if refused. */
-async function endThird({clock, crashes, lostRuns}: Bed): Promise<boolean> {
-  crashes.acceptCrashes(createCrashes(SOUND, 'xy'));
+/** Loses a harmless run on a third endpoint; true if its content is refused. */
+async function recordThirdCrash({
+  clock,
+  crashes,
+  lostRuns,
+}: Fixture): Promise<boolean> {
+  crashes.acceptCrashes(createCrashes(HARMLESS_CONTENT, 'xy'));
   const endpoint = createEndpoint('z', () => clock.getNow());
-  const run = {requestId: 'r', content: SOUND, endpoint};
+  const run = {requestId: 'r', content: HARMLESS_CONTENT, endpoint};
   const decided = lostRuns
     .record(run, 0, new AbortController().signal)
-    .then(() => crashes.isRefused(SOUND));
+    .then(() => crashes.isRefused(HARMLESS_CONTENT));
   await clock.run(1000);
   return decided;
 }
 
 describe('a lost run', () => {
-  // Guards against a refusal before other hosts have reported what ran there.
-  it('is not refused for what another host is about to report', async () => {
-    const bed = createBed();
-    bed.clock.plan(REPORT_MS, () => {
-      bed.crashes.acceptCrashes(createCrashes(BAD, 'vwxz'));
+  // Guards against a refusal before other hosts have reported their runs there.
+  it('is not refused if another host soon reports the cause', async () => {
+    const fixture = createFixture();
+    fixture.clock.plan(REPORT_DELAY_MS, () => {
+      fixture.crashes.acceptCrashes(createCrashes(CRASHING_CONTENT, 'vwxz'));
     });
-    assert.equal(await endThird(bed), false);
+    assert.equal(await recordThirdCrash(fixture), false);
   });
 
-  it('is refused when nobody reports another suspect', async () => {
-    assert.equal(await endThird(createBed()), true);
+  it('is refused if no host reports another suspect', async () => {
+    assert.equal(await recordThirdCrash(createFixture()), true);
   });
 });
--- a/packages/gateway/tests/rollout_counts.test.ts
+++ b/packages/gateway/tests/rollout_counts.test.ts
@@ -5,12 +5,12 @@
 
 const ROUTE = 'route';
 const USUAL_MS = 5;
-/** The delay of a busy host, in ms. */
+/** An answer time that includes the delay of a busy host, in ms. */
 const BUSY_MS = 40;
 const SLOW_MS = 120;
 
-/** Adds answers of the version before. */
-function addBefore(counts: RolloutCounts, count: number, ms: number): void {
+/** Adds answers of the old version. */
+function addOld(counts: RolloutCounts, count: number, ms: number): void {
   for (let at = 0; at < count; at++) {
     const answer = {route: ROUTE, instanceId: 'old', isNew: false};
     counts.add({...answer, isFailed: false, ms});
@@ -27,25 +27,25 @@
 
 function createCounts(): RolloutCounts {
   const counts = new RolloutCounts();
-  addBefore(counts, 20, USUAL_MS);
+  addOld(counts, 20, USUAL_MS);
   return counts;
 }
 
 describe('the answers of a new version', () => {
-  // Guards against sound versions that are rolled back by a busy host.
+  // Guards against a rollback of a good version because a host is busy.
   it('do not count as slow for the delay of a busy host', () => {
     const counts = createCounts();
     addNew(counts, false, BUSY_MS);
     assert.notEqual(counts.decide(), 'bad');
   });
 
-  it('count as slow when they are late by more', () => {
+  it('count as slow beyond that delay', () => {
     const counts = createCounts();
     addNew(counts, false, SLOW_MS);
     assert.equal(counts.decide(), 'bad');
   });
 
-  it('count as failed whatever the version before does', () => {
+  it('count as failed however the old version answers', () => {
     const counts = createCounts();
     addNew(counts, true, SLOW_MS);
     assert.equal(counts.decide(), 'bad');
--- a/packages/gateway/tests/run_leases.test.ts
+++ b/packages/gateway/tests/run_leases.test.ts
@@ -1,4 +1,4 @@
-/** Leases on runs over several hosts, some of which are lost or silent. */
+/** Leases on runs across several hosts, some of which are lost or silent. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {sortIssuers} from '@irisdock/decisions';
@@ -9,12 +9,12 @@
 import {VirtualClock} from './fixtures/virtual_clock.js';
 
 const CONTENT = 'a'.repeat(32);
-/** The way of a datagram, in ms. */
-const WAY_MS = 2;
-/** Time for requests to be answered, in ms. */
-const SHORT_MS = 200;
-/** Time in which any lease without renewals has expired, in ms. */
-const LONG_MS = 5000;
+/** The latency of a datagram, in ms. */
+const DATAGRAM_LATENCY_MS = 2;
+/** Time within which requests are answered, in ms. */
+const ANSWER_WAIT_MS = 200;
+/** Time after which any lease without renewals has expired, in ms. */
+const EXPIRY_WAIT_MS = 5000;
 
 interface FleetHost {
   readonly name: string;
@@ -25,7 +25,7 @@
 class LeaseFleet {
   readonly clock = new VirtualClock();
   readonly hosts = new Map<string, FleetHost>();
-  /** The hosts that all take for alive. */
+  /** The hosts that every host considers alive. */
   alive: string[] = [];
   private recordsHash = 0;
 
@@ -38,12 +38,12 @@
     return sortIssuers(CONTENT, this.alive)[0] ?? '';
   }
 
-  /** A host that does not grant the leases of the content. */
+  /** Lists the hosts that don't grant the leases of the content. */
   listOthers(): FleetHost[] {
     return [...this.hosts.values()].filter(({name}) => name !== this.issuer);
   }
 
-  /** A host is lost at once; the others may not know it yet. */
+  /** Stops a host at once; `isKnown` tells whether the others know of it. */
   kill(name: string, isKnown: boolean): void {
     this.hosts.delete(name);
     if (!isKnown) return;
@@ -53,21 +53,21 @@
 
   acquire(
     {client}: FleetHost,
-    mostMs = LONG_MS,
+    maxWaitMs = EXPIRY_WAIT_MS,
     signal = new AbortController().signal,
   ): Promise<LeaseOutcome> {
     const isNeeded = (): boolean => true;
     return client.acquire({
       content: CONTENT,
       signal,
-      maxWaitMs: mostMs,
+      maxWaitMs,
       isNeeded,
     });
   }
 
   /** Runs the clock until a request for a lease has its outcome. */
   async waitFor(outcome: Promise<LeaseOutcome>): Promise<LeaseOutcome> {
-    await this.clock.run(SHORT_MS);
+    await this.clock.run(ANSWER_WAIT_MS);
     return outcome;
   }
 
@@ -81,13 +81,13 @@
       },
     };
     Object.defineProperty(peers, 'recordsHash', {get: () => this.recordsHash});
-    const board = peers as typeof peers & {readonly recordsHash: number};
+    const issuerPeers = peers as typeof peers & {readonly recordsHash: number};
     const crashes = {
       listCrashes: (content: string) => [{content, instanceId: 'i-1'}],
     };
     const issuer = new RunLeaseIssuer({
       ownName: name,
-      peers: board,
+      peers: issuerPeers,
       crashes,
       clock,
     });
@@ -104,7 +104,7 @@
   }
 
   private send(to: string, datagram: PeerDatagram): void {
-    this.clock.plan(WAY_MS, () => {
+    this.clock.plan(DATAGRAM_LATENCY_MS, () => {
       const client = this.hosts.get(to)?.client;
       if (datagram.kind === 'lease-ask') client?.acceptLeaseAsk(datagram);
       if (datagram.kind === 'lease-end') client?.acceptLeaseEnd(datagram);
@@ -113,15 +113,15 @@
   }
 }
 
-/** Creates a fleet whose first lease may be granted at once. */
+/** Creates a fleet of which every host may grant leases at once. */
 async function createFleet(): Promise<LeaseFleet> {
   const fleet = new LeaseFleet(['h-1', 'h-2', 'h-3', 'h-4']);
   for (const {client} of fleet.hosts.values()) client.dropExpired();
-  await fleet.clock.run(LONG_MS);
+  await fleet.clock.run(EXPIRY_WAIT_MS);
   return fleet;
 }
 
-/** Checks that a host gets the lease once its holder ends it, and not before. */
+/** Checks that a host gets the lease once it is released, and not before. */
 async function checkWaitsFor(
   fleet: LeaseFleet,
   first: LeaseOutcome,
@@ -131,14 +131,14 @@
   const second = fleet.acquire(host);
   let isSettled = false;
   void second.then(() => (isSettled = true));
-  await fleet.clock.run(LONG_MS / 2);
+  await fleet.clock.run(EXPIRY_WAIT_MS / 2);
   assert.equal(isSettled, false);
   first.lease.release();
   assert.equal((await fleet.waitFor(second)).kind, 'granted');
 }
 
 describe('the lease on a suspected content', () => {
-  it('is granted to one host at a time, with the crashes known', async () => {
+  it('is granted to one host at a time, with the known crashes', async () => {
     const fleet = await createFleet();
     const [one, two] = fleet.listOthers();
     assert.ok(one && two);
@@ -153,7 +153,7 @@
     const [one, two] = fleet.listOthers();
     assert.ok(one && two);
     await fleet.waitFor(fleet.acquire(one));
-    const second = await fleet.waitFor(fleet.acquire(two, SHORT_MS / 2));
+    const second = await fleet.waitFor(fleet.acquire(two, ANSWER_WAIT_MS / 2));
     assert.equal(second.kind, 'held');
   });
 
@@ -164,11 +164,11 @@
     await fleet.waitFor(fleet.acquire(one));
     fleet.kill(one.name, true);
     const second = fleet.acquire(two);
-    await fleet.clock.run(LONG_MS / 2);
+    await fleet.clock.run(EXPIRY_WAIT_MS / 2);
     assert.equal((await second).kind, 'granted');
   });
 
-  // Guards against a new issuer that does not know of a lease in force.
+  // Guards against a new issuer that doesn't know of the current lease.
   it('is kept when its issuer is lost', async () => {
     const fleet = await createFleet();
     const [one, two] = fleet.listOthers();
@@ -178,7 +178,7 @@
     await checkWaitsFor(fleet, first, two);
   });
 
-  // Guards against sound streams that wait for a lost host.
+  // Guards against harmless streams that wait for a lost host.
   it('is not waited for when its issuer is silent', async () => {
     const fleet = await createFleet();
     const [one] = fleet.listOthers();
