--- a/packages/gateway/src/serving/call_driver.ts
+++ b/packages/gateway/src/serving/call_driver.ts
@@ -78,8 +78,8 @@
       }
       const endpoint = this.chooseEndpoint();
       if (endpoint === undefined) return this.finish();
-      const ended = this.findEarlyOutcome();
-      if (ended !== undefined) return ended;
+      const earlyOutcome = this.findEarlyOutcome();
+      if (earlyOutcome !== undefined) return earlyOutcome;
       const {client} = this.parts;
       const permit = await client.admit(endpoint, 'usual');
       if (permit.kind === 'held') {
@@ -108,8 +108,11 @@
     const {gate, rollouts} = this.parts;
     const isFirst = !this.hasChosen;
     this.hasChosen = true;
-    const trial = isFirst ? rollouts.takeTrial(this.service) : undefined;
-    const usable = trial ?? listLiveEndpoints(this.parts, this.service);
+    const trialEndpoints = isFirst
+      ? rollouts.takeTrial(this.service)
+      : undefined;
+    const usable =
+      trialEndpoints ?? listLiveEndpoints(this.parts, this.service);
     const unconfirmed = isFirst ? gate.takeUnconfirmed(usable) : undefined;
     if (unconfirmed !== undefined) return unconfirmed;
     return choosePlainEndpoint(usable, this.excluded, () =>
--- a/packages/gateway/src/serving/crash_records.ts
+++ b/packages/gateway/src/serving/crash_records.ts
@@ -60,7 +60,7 @@
 
   constructor(private readonly parts: CrashRecordsParts) {}
 
-  /** Returns how requests with a content are handled. */
+  /** Returns the verdict on a content. */
   getVerdict(content: string): ContentVerdict {
     return this.parts.ledger.decide(content);
   }
--- a/packages/gateway/src/serving/endpoint_exit_check.ts
+++ b/packages/gateway/src/serving/endpoint_exit_check.ts
@@ -75,7 +75,7 @@
     const described = neighbors.map(({instanceId}, place) => {
       return `${instanceId} ${states[place] ?? ''}`;
     });
-    this.parts.log.writeInfo('Probed the neighbors of an ended endpoint.', {
+    this.parts.log.writeInfo('Probed the neighbors of an exited endpoint.', {
       endpoint: endpoint.instanceId,
       neighbors: described.join(', '),
     });
--- a/packages/gateway/src/serving/kv_cache_replicator.ts
+++ b/packages/gateway/src/serving/kv_cache_replicator.ts
@@ -11,7 +11,7 @@
 import {listLiveEndpoints} from './live_endpoints.js';
 import {getRandomFraction, type ServingParts} from './serving_parts.js';
 
-/** A replica: the engine that holds it, and its source and name. */
+/** The engine that holds a replica, and the replica's source and name. */
 export interface KvCacheReplica {
   readonly source: MemorySource;
   readonly holder: EndpointRecord;
@@ -24,7 +24,7 @@
 const MAX_REPLACEMENT_DELAY_MS = 200;
 /** Time between renewals, in ms. Engines drop copies after about 4 s. */
 const RENEWAL_INTERVAL_MS = 2000;
-/** The timeout of a copy, in ms; a long prompt is 1.3 GB over a slow link. */
+/** The timeout of a copy, in ms: up to 1.3 GB over a slow link. */
 const COPY_TIMEOUT_MS = 1500;
 /** How many copies may fail before no more are requested. */
 const MAX_FAILED_COPIES = 4;
@@ -37,7 +37,7 @@
   private failedCopies = 0;
   private isStarted = false;
   private isCopying = false;
-  private stopped = false;
+  private isStopped = false;
 
   constructor(
     private readonly parts: ServingParts,
@@ -49,7 +49,7 @@
 
   /** Starts replication; called when the first events have arrived. */
   start(): void {
-    if (this.isStarted || this.stopped) return;
+    if (this.isStarted || this.isStopped) return;
     this.isStarted = true;
     const {standby, primary, requestId} = this;
     if (standby === undefined) {
@@ -72,7 +72,7 @@
    *     replica that this class requested is dropped.
    */
   stop(isNeeded: boolean): void {
-    this.stopped = true;
+    this.isStopped = true;
     clearTimeout(this.timer);
     this.stopWatching?.();
     const {replica} = this;
@@ -97,7 +97,7 @@
 
   private plan(ms: number): void {
     clearTimeout(this.timer);
-    if (this.stopped || this.failedCopies >= MAX_FAILED_COPIES) return;
+    if (this.isStopped || this.failedCopies >= MAX_FAILED_COPIES) return;
     this.timer = setTimeout(() => void this.renewReplica(), ms);
   }
 
@@ -123,13 +123,13 @@
   }
 
   private async sendCopy(target: EndpointRecord): Promise<boolean> {
-    const {copyCodec: copies, log} = this.parts;
-    const call = copies.encodeCopy(this.requestId, target.address);
+    const {copyCodec, log} = this.parts;
+    const call = copyCodec.encodeCopy(this.requestId, target.address);
     const answer = await this.send(call);
     const name =
       answer === undefined
         ? undefined
-        : copies.decodeCopy(answer.status, answer.body);
+        : copyCodec.decodeCopy(answer.status, answer.body);
     log.writeInfo('Requested a copy of the KV cache of a stream.', {
       request: this.requestId,
       from: this.primary.instanceId,
@@ -142,7 +142,7 @@
       return false;
     }
     // Nothing resumes from a copy that was completed only after the end.
-    if (this.stopped) {
+    if (this.isStopped) {
       this.dropCopy(name);
       return true;
     }
--- a/packages/gateway/src/serving/lost_runs.ts
+++ b/packages/gateway/src/serving/lost_runs.ts
@@ -84,10 +84,10 @@
     content,
     endpoint,
   }: LostRun): Promise<void> {
-    const {exitCheck: check, crashes, metrics, log} = this.parts;
+    const {exitCheck, crashes, metrics, log} = this.parts;
     const {instanceId, isReady: wasReady} = endpoint;
     const ownRuns = endpoint.getOwnUse().running;
-    const end = await check.check(endpoint);
+    const end = await exitCheck.check(endpoint);
     metrics.lostRuns.inc({end});
     log.writeInfo('Probed the endpoint of a lost run.', {
       request: requestId,
--- a/packages/gateway/src/serving/silence_detector.ts
+++ b/packages/gateway/src/serving/silence_detector.ts
@@ -23,10 +23,10 @@
 export class SilenceDetector {
   private timer: NodeJS.Timeout | undefined;
   private hasEvents = false;
-  private eventAt = 0;
+  private lastEventAt = 0;
   private unansweredProbes = 0;
   /** Incremented with each event, to detect probes that are out of date. */
-  private eventRound = 0;
+  private eventCount = 0;
   private isStopped = false;
   /** Whether the current timer checks for silence between events. */
   private isCheckPlanned = false;
@@ -47,10 +47,10 @@
   /** Records that events arrived. */
   recordEvents(): void {
     const now = this.clock.getNow();
-    if (this.hasEvents) this.endpoint.recordGap(now - this.eventAt);
-    this.eventAt = now;
+    if (this.hasEvents) this.endpoint.recordGap(now - this.lastEventAt);
+    this.lastEventAt = now;
     this.hasEvents = true;
-    this.eventRound++;
+    this.eventCount++;
     // A running timer is not reset; it checks the time of the last event when
     // it fires. A new timer for each event would be the largest cost of this
     // class.
@@ -81,7 +81,7 @@
 
   /** Probes the endpoint, unless events arrived since the timer was set. */
   private async checkSilence(): Promise<void> {
-    const dueAt = this.eventAt + this.getLimits().askAfterMs;
+    const dueAt = this.lastEventAt + this.getLimits().askAfterMs;
     const leftMs = dueAt - this.clock.getNow();
     if (leftMs > 0) {
       this.planCheck(leftMs);
@@ -105,10 +105,10 @@
   }
 
   private async probeInStream(): Promise<void> {
-    const {eventRound} = this;
+    const {eventCount} = this;
     const {askAfterMs, answerMs, lostAfterMs} = this.getLimits();
     const isAnswering = await this.prober.probe(this.endpoint, answerMs);
-    if (eventRound !== this.eventRound || this.isStopped) return;
+    if (eventCount !== this.eventCount || this.isStopped) return;
     if (!isAnswering) {
       this.handleLost('silent, and no answer to a question');
       return;
--- a/packages/gateway/src/serving/stream_attempt.ts
+++ b/packages/gateway/src/serving/stream_attempt.ts
@@ -134,14 +134,14 @@
   private async readFailure(answer: EndpointAnswer): Promise<AttemptResult> {
     const {endpoint} = this.plan;
     const {endpoints, successors} = this.parts;
-    const reading = await readPlainAnswer(endpoints, endpoint, answer);
+    const result = await readPlainAnswer(endpoints, endpoint, answer);
     const {endpointId = endpoint.endpointId} = answer.terms;
     const isDifferentEndpoint = endpointId !== endpoint.endpointId;
-    if (reading.kind === 'refused' && isDifferentEndpoint) {
+    if (result.kind === 'refused' && isDifferentEndpoint) {
       await successors.accept(endpoint, endpointId);
     }
-    if (reading.kind !== 'whole') return reading;
-    return {kind: 'failed', answer: reading.answer};
+    if (result.kind !== 'whole') return result;
+    return {kind: 'failed', answer: result.answer};
   }
 
   private async readEvents(answer: EndpointAnswer): Promise<AttemptResult> {
--- a/packages/gateway/src/serving/stream_planner.ts
+++ b/packages/gateway/src/serving/stream_planner.ts
@@ -26,7 +26,7 @@
  * A stream with this many crashes gets an engine for itself. Every stream on an
  * engine that exits is counted one crash; one with two is probably the cause.
  */
-const MIN_CRASHES_FOR_EXCLUSIVE = 2;
+const MIN_CRASHES_FOR_OWN_ENGINE = 2;
 
 /** Plans the attempts of one stream. */
 export class StreamPlanner {
@@ -161,7 +161,7 @@
       chooseEngine(this.knownLoadEngines ?? usable, request) ??
       chooseEngine(usable, request);
     if (endpoint === undefined) return undefined;
-    const backup = this.hasBackups()
+    const backup = this.isBackupEnabled()
       ? chooseBackup(usable, endpoint, request)
       : undefined;
     const memorySource = holder === undefined ? undefined : replica?.source;
@@ -194,7 +194,7 @@
    */
   countClaimedSlots(endpoint: EndpointRecord): number {
     const crashes = this.parts.crashes.countCrashes(this.content);
-    return crashes >= MIN_CRASHES_FOR_EXCLUSIVE ? endpoint.slots : 1;
+    return crashes >= MIN_CRASHES_FOR_OWN_ENGINE ? endpoint.slots : 1;
   }
 
   private chooseTrial(): AttemptPlan | undefined {
@@ -259,7 +259,7 @@
     return replica.holder;
   }
 
-  private hasBackups(): boolean {
+  private isBackupEnabled(): boolean {
     const service = this.parts.configuration.findService(this.service);
     return service?.engine?.takesBackups ?? false;
   }
