--- a/packages/gateway/src/serving/request_handler.ts
+++ b/packages/gateway/src/serving/request_handler.ts
@@ -39,7 +39,7 @@
     if (this.host.isLeaving) exchange.closeAfterAnswer();
     const {configuration} = this.parts;
     if (!configuration.isLoaded) {
-      this.refuse(exchange, this.createRetryable('no_configuration'));
+      this.refuse(exchange, this.createRetryableError('no_configuration'));
       return;
     }
     const route = configuration.findRoute(exchange.hostHeader, exchange.path);
@@ -78,7 +78,7 @@
     parts.rollouts.recordRequest(service);
     const isStream = route.kind === 'stream';
     if (isStream && this.host.isTooLateForStreams) {
-      this.refuse(exchange, this.createRetryable('leaving'));
+      this.refuse(exchange, this.createRetryableError('leaving'));
       return;
     }
     const deadline = Math.min(
@@ -137,7 +137,7 @@
       return undefined;
     }
     const team = teamLookup.kind === 'known' ? teamLookup.team : undefined;
-    const callerUntil = exchange.startedAt + (remainingMs ?? Infinity);
+    const callerDeadline = exchange.startedAt + (remainingMs ?? Infinity);
     const content = hashContent(team, exchange.path, body);
     return {
       exchange,
@@ -146,7 +146,7 @@
       team,
       body,
       content,
-      callerDeadline: callerUntil,
+      callerDeadline,
     };
   }
 
@@ -166,14 +166,14 @@
     kind: 'no_route' | 'unknown_key',
   ): void {
     if (this.host.mayBeBehind) {
-      this.refuse(exchange, this.createRetryable('old_configuration'));
+      this.refuse(exchange, this.createRetryableError('old_configuration'));
       return;
     }
     const host = exchange.hostHeader;
     this.refuse(exchange, GATEWAY_ERRORS.create(kind, {host}));
   }
 
-  private createRetryable(
+  private createRetryableError(
     kind: 'leaving' | 'no_configuration' | 'old_configuration',
   ): KnownError {
     return GATEWAY_ERRORS.create(kind, {}, decideRetryAfter(this.parts.random));
--- a/packages/gateway/src/serving/serving_metrics.ts
+++ b/packages/gateway/src/serving/serving_metrics.ts
@@ -18,25 +18,25 @@
     const registers = [registry];
     this.requests = new Counter({
       name: 'irisdock_gateway_requests_total',
-      help: 'Requests that ended, a count, by kind of route and outcome.',
+      help: 'Finished requests, a count, by kind of route and outcome.',
       labelNames: ['kind', 'outcome'],
       registers,
     });
     this.losses = new Counter({
       name: 'irisdock_gateway_losses_total',
-      help: 'Sends that brought no usable answer, a count, by reason.',
+      help: 'Sends without a usable answer, a count, by reason.',
       labelNames: ['reason'],
       registers,
     });
     this.lostRuns = new Counter({
       name: 'irisdock_gateway_lost_runs_total',
-      help: 'Runs that were lost, a count, by what became of their endpoints.',
+      help: 'Lost runs, a count, by the result of their endpoint exit checks.',
       labelNames: ['end'],
       registers,
     });
     this.answerSeconds = new Histogram({
       name: 'irisdock_gateway_answer_seconds',
-      help: 'Time to a whole answer or a first event, in seconds.',
+      help: 'Time to a complete answer or a first event, in seconds.',
       labelNames: ['kind'],
       buckets: ANSWER_BUCKETS,
       registers,
--- a/packages/gateway/tests/engine_groups.test.ts
+++ b/packages/gateway/tests/engine_groups.test.ts
@@ -55,15 +55,15 @@
 describe('the groups of a host', () => {
   it('let a change reach each group with few datagrams', () => {
     const groups = createGroups(195, 0);
-    const near = groups.listGroup();
+    const groupHosts = groups.listGroup();
     const relays = groups.listRelays();
-    assert.ok(near.length <= 7);
-    const first = near.length + relays.length;
-    assert.ok(first <= 60, `${first}`);
-    const far = relays.filter(
+    assert.ok(groupHosts.length <= 7);
+    const datagrams = groupHosts.length + relays.length;
+    assert.ok(datagrams <= 60, `${datagrams}`);
+    const crossDomainDatagrams = relays.filter(
       ({place}) => place.failureDomain !== 'domain-0',
     ).length;
-    assert.ok(far <= 45, `${far}`);
+    assert.ok(crossDomainDatagrams <= 45, `${crossDomainDatagrams}`);
     const domains = new Set(relays.map(({place}) => place.failureDomain));
     assert.equal(domains.size, DOMAINS);
     assert.equal(new Set(relays).size, relays.length);
--- a/packages/gateway/tests/lost_runs.test.ts
+++ b/packages/gateway/tests/lost_runs.test.ts
@@ -28,14 +28,8 @@
   const ledger = new CrashLedger({keepMs: 60_000, maxContents: 10});
   const crashes = new CrashRecords({ledger, clock, log});
   const metrics = new ServingMetrics(new Registry());
-  const check = {check: () => Promise.resolve('ended' as const)};
-  const lostRuns = new LostRuns({
-    exitCheck: check,
-    crashes,
-    metrics,
-    clock,
-    log,
-  });
+  const exitCheck = {check: () => Promise.resolve('ended' as const)};
+  const lostRuns = new LostRuns({exitCheck, crashes, metrics, clock, log});
   return {clock, crashes, lostRuns};
 }
 
--- a/packages/gateway/tests/run_leases.test.ts
+++ b/packages/gateway/tests/run_leases.test.ts
@@ -57,12 +57,7 @@
     signal = new AbortController().signal,
   ): Promise<LeaseOutcome> {
     const isNeeded = (): boolean => true;
-    return client.acquire({
-      content: CONTENT,
-      signal,
-      maxWaitMs,
-      isNeeded,
-    });
+    return client.acquire({content: CONTENT, signal, maxWaitMs, isNeeded});
   }
 
   /** Runs the clock until a request for a lease has its outcome. */
