--- a/bench/src/standin_hosts.ts
+++ b/bench/src/standin_hosts.ts
@@ -8,13 +8,13 @@
 import {
   hashText,
   type HostRecord,
-  type WatchMessage,
+  type GossipMessage,
 } from '@irisdock/decisions';
 import {
   decodePeerDatagram,
   encodePeerDatagram,
   PeerFrame,
-  type PeerPlace,
+  type PeerLocation,
 } from '@irisdock/gateway';
 import {splitPlace} from '@irisdock/kernel';
 import {DEPLOYMENT} from './deployed_host.js';
@@ -27,7 +27,7 @@
 interface StandinHost {
   readonly socket: Socket;
   readonly record: HostRecord;
-  readonly place: PeerPlace;
+  readonly place: PeerLocation;
 }
 
 /** What went between the real host and the others. */
@@ -121,13 +121,13 @@
     asker: string | undefined,
   ): void {
     const ownHash = this.own === undefined ? 0 : hashRecord(this.own);
-    const watch: WatchMessage<PeerPlace> = {
+    const watch: GossipMessage<PeerLocation> = {
       kind,
       sender: record,
       place: kind === 'probe' ? place : undefined,
       asker,
       target: undefined,
-      changes: [],
+      updates: [],
       recordsHash: (this.hashSum + ownHash) >>> 0,
     };
     const revisions = {configuration: 1, endpoints: 1, crashes: 0};
--- a/packages/gateway/src/services/use_questions.ts
+++ b/packages/gateway/src/services/use_queries.ts
@@ -6,14 +6,14 @@
 import type {HostView} from '@irisdock/decisions';
 import {getShuffled, type Clock, type Random} from '@irisdock/kernel';
 import type {
-  AnswerDatagram,
+  UsageReplyDatagram,
   PeerDatagram,
-  PeerPlace,
-  QuestionDatagram,
-  ToldUse,
+  PeerLocation,
+  UsageQueryDatagram,
+  EndpointUsageReport,
 } from '../model/peer_message.js';
 import type {EngineGroups} from './engine_groups.js';
-import type {SendToHosts, UseBoard} from './use_notices.js';
+import type {SendToHosts, UseRegistry} from './use_publisher.js';
 
 /**
  * How long an answer is waited for, in ms. Ways between failure domains take
@@ -23,19 +23,19 @@
 const ANSWER_MS = 30;
 
 interface OpenQuestion {
-  readonly handleAnswer: (told: readonly ToldUse[]) => void;
+  readonly handleAnswer: (told: readonly EndpointUsageReport[]) => void;
 }
 
 /** Asks and answers. */
-export class UseQuestions {
+export class UseQueries {
   /** Set by the service that knows what runs. */
-  board: UseBoard | undefined;
+  registry: UseRegistry | undefined;
   private number = 0;
   private readonly open = new Map<number, OpenQuestion>();
 
   constructor(
     private readonly ownName: string,
-    private readonly view: HostView<PeerPlace>,
+    private readonly view: HostView<PeerLocation>,
     private readonly groups: EngineGroups,
     private readonly clock: Clock,
     private readonly random: Random,
@@ -43,7 +43,7 @@
   ) {}
 
   /** Asks what runs on engines; what is not answered in time is left out. */
-  async poll(instanceIds: readonly string[]): Promise<ToldUse[]> {
+  async poll(instanceIds: readonly string[]): Promise<EndpointUsageReport[]> {
     const answers = await Promise.all(
       instanceIds.map((instanceId) => this.pollOne(instanceId)),
     );
@@ -51,13 +51,13 @@
   }
 
   /** Answers another host. */
-  acceptQuestion(question: QuestionDatagram): void {
+  acceptQuery(question: UsageQueryDatagram): void {
     const asker = this.view.find(question.name);
-    const {board} = this;
+    const {registry: board} = this;
     if (asker === undefined || board === undefined) return;
-    const uses: ToldUse[] = [];
+    const uses: EndpointUsageReport[] = [];
     for (const instanceId of question.instanceIds) {
-      const told = board.findUseBut(instanceId, question.name);
+      const told = board.findUseExcept(instanceId, question.name);
       if (told !== undefined) uses.push(told);
     }
     const {number} = question;
@@ -65,11 +65,13 @@
   }
 
   /** Takes the answer of another host. */
-  acceptAnswer({number, uses}: AnswerDatagram): void {
+  acceptAnswer({number, uses}: UsageReplyDatagram): void {
     this.open.get(number)?.handleAnswer(uses);
   }
 
-  private async pollOne(instanceId: string): Promise<ToldUse | undefined> {
+  private async pollOne(
+    instanceId: string,
+  ): Promise<EndpointUsageReport | undefined> {
     const homes = this.groups.listHomeHosts(instanceId);
     const [host] = getShuffled(homes, this.random);
     if (host === undefined) return undefined;
@@ -82,7 +84,7 @@
       instanceIds: [instanceId],
     };
     const limit = new AbortController();
-    let told: ToldUse | undefined;
+    let told: EndpointUsageReport | undefined;
     this.open.set(number, {
       handleAnswer: (uses) => {
         told = uses.find((one) => one.instanceId === instanceId);
--- a/packages/gateway/src/serving/attempt_admission.ts
+++ b/packages/gateway/src/serving/attempt_admission.ts
@@ -16,12 +16,12 @@
  */
 export async function admitAttempt(
   {client, clock}: ServingParts,
-  {endpoint, memorySource}: AttemptPlan,
+  {endpoint, kvCacheSource}: AttemptPlan,
   isResumed: boolean,
   signal: AbortSignal,
 ): Promise<SendAdmission> {
   const use = isResumed ? 'begun' : 'usual';
-  const maxWaitMs = memorySource === undefined ? 0 : MAX_REPLICA_WAIT_MS;
+  const maxWaitMs = kvCacheSource === undefined ? 0 : MAX_REPLICA_WAIT_MS;
   const deadline = clock.getNow() + maxWaitMs;
   for (;;) {
     const permit = await client.admit(endpoint, use);
--- a/packages/gateway/src/serving/crash_records.ts
+++ b/packages/gateway/src/serving/crash_records.ts
@@ -7,7 +7,7 @@
   ContentVerdict,
   Crash,
   CrashLedger,
-  KnownContent,
+  ContentCrashes,
 } from '@irisdock/decisions';
 import type {Clock, Logger} from '@irisdock/kernel';
 import {formatCrashKey, isCrash} from '../model/crash_row.js';
@@ -91,7 +91,7 @@
   }
 
   /** Lists the contents with recorded crashes. */
-  listContents(): KnownContent[] {
+  listContents(): ContentCrashes[] {
     return this.parts.ledger.listContents();
   }
 
--- a/packages/gateway/src/serving/endpoint_record.ts
+++ b/packages/gateway/src/serving/endpoint_record.ts
@@ -3,9 +3,9 @@
  * it by this host's own claims and by reports of others, and its failures and
  * latencies.
  */
-import type {EngineView, PlainView} from '@irisdock/decisions';
+import type {EngineView, PlainEndpointView} from '@irisdock/decisions';
 import type {EndpointEntry} from '../model/endpoint_entry.js';
-import type {ToldLoad} from '../model/request_terms.js';
+import type {ReportedLoad} from '../model/request_metadata.js';
 
 /** What one host has running on an endpoint. */
 export interface EndpointUse {
@@ -71,7 +71,7 @@
 }
 
 /** The record of one endpoint instance. */
-export class EndpointRecord implements EngineView, PlainView {
+export class EndpointRecord implements EngineView, PlainEndpointView {
   /** Whether a rollout keeps usual requests away from it. */
   isExcludedByRollout = false;
   private removalCause: RemovalCause | undefined;
@@ -84,7 +84,7 @@
   private failedAt = 0;
   private meanAnswerMs = INITIAL_ANSWER_MS;
   private meanGapMs = 0;
-  private reportedLoad: ToldLoad | undefined;
+  private reportedLoad: ReportedLoad | undefined;
   private loadReportedAt = -Infinity;
 
   constructor(
@@ -236,7 +236,7 @@
   }
 
   /** Records the load that the endpoint reported. */
-  recordLoad(load: ToldLoad): void {
+  recordLoad(load: ReportedLoad): void {
     this.reportedLoad = load;
     this.loadReportedAt = this.getNow();
   }
--- a/packages/gateway/src/serving/kv_cache_replicator.ts
+++ b/packages/gateway/src/serving/kv_cache_replicator.ts
@@ -4,8 +4,8 @@
  * sent. If there is no standby or it is removed, this class requests copies to
  * another engine, repeatedly so that the replica stays up to date.
  */
-import {chooseBackup, type EngineRequest} from '@irisdock/decisions';
-import type {EngineCall, MemorySource} from '../model/request_terms.js';
+import {chooseBackupEngine, type EngineRequest} from '@irisdock/decisions';
+import type {EngineCall, KvCacheSource} from '../model/request_metadata.js';
 import type {EndpointRecord} from './endpoint_record.js';
 import type {EngineAnswer} from './engine_client.js';
 import {listLiveEndpoints} from './live_endpoints.js';
@@ -13,7 +13,7 @@
 
 /** The engine that holds a replica, and the replica's source and name. */
 export interface KvCacheReplica {
-  readonly source: MemorySource;
+  readonly source: KvCacheSource;
   readonly holder: EndpointRecord;
 }
 
@@ -119,7 +119,7 @@
     const usable = listLiveEndpoints(this.parts, service).filter((engine) =>
       rollouts.isSameSide(engine, this.primary),
     );
-    return chooseBackup(usable, this.primary, this.engineRequest);
+    return chooseBackupEngine(usable, this.primary, this.engineRequest);
   }
 
   private async sendCopy(target: EndpointRecord): Promise<boolean> {
--- a/packages/gateway/src/serving/prompt_cache_finder.ts
+++ b/packages/gateway/src/serving/prompt_cache_finder.ts
@@ -7,12 +7,12 @@
  * way, but 48,000 when a hash of the prompt chose the engine.
  */
 import {
-  computeKeptTokens,
-  sortByPreference,
+  computeCachedTokens,
+  sortByRendezvousHash,
   type PromptPartView,
 } from '@irisdock/decisions';
 import type {Clock, Logger} from '@irisdock/kernel';
-import type {KeptPromptCodec} from '../model/request_terms.js';
+import type {PromptCacheCodec} from '../model/request_metadata.js';
 import type {EndpointRecord} from './endpoint_record.js';
 import type {EngineClient} from './engine_client.js';
 
@@ -42,7 +42,7 @@
 
   constructor(
     private readonly engineClient: EngineClient,
-    private readonly codec: KeptPromptCodec,
+    private readonly codec: PromptCacheCodec,
     private readonly ownDomain: string,
     private readonly clock: Clock,
     private readonly log: Logger,
@@ -57,7 +57,7 @@
     const cachedTokens = new Map<string, number>();
     const key = prompt.at(-1)?.id;
     if (key === undefined) return cachedTokens;
-    const sorted = sortByPreference(engines, key);
+    const sorted = sortByRendezvousHash(engines, key);
     const polled = [
       ...sorted.filter((engine) => this.isInOwnDomain(engine)),
       ...sorted.filter((engine) => !this.isInOwnDomain(engine)),
@@ -65,7 +65,7 @@
     await Promise.all(
       polled.map(async (engine) => {
         const parts = await this.poll(engine);
-        const tokens = computeKeptTokens(prompt, parts ?? new Map());
+        const tokens = computeCachedTokens(prompt, parts ?? new Map());
         if (tokens > 0) cachedTokens.set(engine.instanceId, tokens);
       }),
     );
@@ -89,12 +89,12 @@
   private async pollOnce(
     engine: EndpointRecord,
   ): Promise<CachedParts | undefined> {
-    const call = this.codec.encodeListKept();
+    const call = this.codec.encodeListCached();
     const answer = await this.engineClient.send(engine, call, POLL_TIMEOUT_MS);
     const parts =
       answer === undefined
         ? undefined
-        : this.codec.decodeListKept(answer.status, answer.body);
+        : this.codec.decodeListCached(answer.status, answer.body);
     if (parts === undefined) {
       this.log.writeDebug('An engine did not report its cached prompts.', {
         endpoint: engine.instanceId,
--- a/packages/gateway/src/serving/rollout_counts.ts
+++ b/packages/gateway/src/serving/rollout_counts.ts
@@ -9,7 +9,7 @@
   RouteEvidence,
   VersionVerdict,
 } from '@irisdock/decisions';
-import {decideVersion} from '@irisdock/decisions';
+import {decideVersionVerdict} from '@irisdock/decisions';
 import type {RouteCount} from '../model/rollout_order.js';
 
 /** The answer of one endpoint to one request. */
@@ -86,7 +86,7 @@
 
   /** Computes the verdict on the new version from this host's counts alone. */
   decide(): VersionVerdict {
-    return decideVersion(computeEvidence([this.listRoutes()]));
+    return decideVersionVerdict(computeEvidence([this.listRoutes()]));
   }
 
   /** Lists the counts by route. */
--- a/packages/gateway/src/serving/rollout_state.ts
+++ b/packages/gateway/src/serving/rollout_state.ts
@@ -3,8 +3,8 @@
  * and the counts of this host and the reports of all hosts.
  */
 import {
-  computeTrialRoom,
-  decideVersion,
+  computeTrialQuota,
+  decideVersionVerdict,
   ROLLOUT_PHASES,
   type ExposureBounds,
   type RolloutPhase,
@@ -92,7 +92,7 @@
   takeTrial(bounds: ExposureBounds, hosts: number): boolean {
     if (this.currentPhase !== 'trial') return false;
     const {counts} = this;
-    const room = computeTrialRoom(bounds, counts.requests, hosts);
+    const room = computeTrialQuota(bounds, counts.requests, hosts);
     if (counts.trialSends + 1 > room) return false;
     counts.trialSends++;
     return true;
@@ -139,7 +139,7 @@
       reports.reduce((total, report) => total + get(report), 0);
     return {
       phase: this.currentPhase,
-      verdict: decideVersion(
+      verdict: decideVersionVerdict(
         computeEvidence(reports.map(({routes}) => routes)),
       ),
       bounds,
--- a/packages/gateway/src/serving/rollouts.ts
+++ b/packages/gateway/src/serving/rollouts.ts
@@ -5,7 +5,7 @@
  * endpoint is open.
  */
 import {
-  decideTrialEndpoints,
+  countTrialEndpoints,
   hashText,
   type ExposureBounds,
 } from '@irisdock/decisions';
@@ -127,7 +127,7 @@
       rank: hashText(record.instanceId),
     }));
     ranked.sort((a, b) => a.rank - b.rank);
-    const count = decideTrialEndpoints(bounds, newEndpoints.length);
+    const count = countTrialEndpoints(bounds, newEndpoints.length);
     return ranked.slice(0, count).map(({record}) => record);
   }
 
--- a/packages/gateway/src/serving/send_gate.ts
+++ b/packages/gateway/src/serving/send_gate.ts
@@ -2,7 +2,11 @@
  * The gate that admits every send to an endpoint and sees every answer. A send
  * needs a permit, and only the gate creates permits, so none can bypass it.
  */
-import type {NamedLimit, PauseRequest, SendUse} from '@irisdock/decisions';
+import type {
+  AdvertisedLimit,
+  PauseRequest,
+  SendPriority,
+} from '@irisdock/decisions';
 
 /** The endpoint instance that a send is addressed to. */
 export interface SendTarget {
@@ -15,7 +19,7 @@
 export interface LimitAnswer {
   readonly target: SendTarget;
   /** The limit that the answer names; undefined if it names none. */
-  readonly limit: NamedLimit | undefined;
+  readonly limit: AdvertisedLimit | undefined;
   /** Whether an endpoint with a limit would have named it in this answer. */
   readonly isTelling: boolean;
   /** When the request was sent, in ms on this host's clock. */
@@ -86,7 +90,7 @@
   /** Requests a permit; asynchronous only if the endpoint has a limit. */
   admit(
     target: SendTarget,
-    use: SendUse,
+    use: SendPriority,
   ): Promise<SendAdmission> | SendAdmission;
 
   /**
--- a/packages/gateway/src/serving/silence_detector.ts
+++ b/packages/gateway/src/serving/silence_detector.ts
@@ -41,7 +41,9 @@
 
   /** Starts to wait for the first event. */
   start(): void {
-    this.plan(this.getLimits().firstAskMs, () => this.probeBeforeFirst());
+    this.plan(this.getLimits().firstProbeAfterMs, () =>
+      this.probeBeforeFirst(),
+    );
   }
 
   /** Records that events arrived. */
@@ -54,7 +56,7 @@
     // A running timer is not reset; it checks the time of the last event when
     // it fires. A new timer for each event would be the largest cost of this
     // class.
-    if (!this.isCheckPlanned) this.planCheck(this.getLimits().askAfterMs);
+    if (!this.isCheckPlanned) this.planCheck(this.getLimits().probeAfterMs);
   }
 
   stop(): void {
@@ -81,7 +83,7 @@
 
   /** Probes the endpoint, unless events arrived since the timer was set. */
   private async checkSilence(): Promise<void> {
-    const dueAt = this.lastEventAt + this.getLimits().askAfterMs;
+    const dueAt = this.lastEventAt + this.getLimits().probeAfterMs;
     const leftMs = dueAt - this.clock.getNow();
     if (leftMs > 0) {
       this.planCheck(leftMs);
@@ -92,28 +94,28 @@
   }
 
   private async probeBeforeFirst(): Promise<void> {
-    const {answerMs, askEveryMs} = this.getLimits();
-    const isAnswering = await this.prober.probe(this.endpoint, answerMs);
+    const {probeTimeoutMs, probeIntervalMs} = this.getLimits();
+    const isAnswering = await this.prober.probe(this.endpoint, probeTimeoutMs);
     if (this.hasEvents || this.isStopped) return;
     this.unansweredProbes = isAnswering ? 0 : this.unansweredProbes + 1;
     if (this.unansweredProbes >= MAX_UNANSWERED_PROBES) {
       this.handleLost('no answer before the first event');
       return;
     }
-    const waitMs = isAnswering ? askEveryMs : 0;
+    const waitMs = isAnswering ? probeIntervalMs : 0;
     this.plan(waitMs, () => this.probeBeforeFirst());
   }
 
   private async probeInStream(): Promise<void> {
     const {eventCount} = this;
-    const {askAfterMs, answerMs, lostAfterMs} = this.getLimits();
-    const isAnswering = await this.prober.probe(this.endpoint, answerMs);
+    const {probeAfterMs, probeTimeoutMs, lostAfterMs} = this.getLimits();
+    const isAnswering = await this.prober.probe(this.endpoint, probeTimeoutMs);
     if (eventCount !== this.eventCount || this.isStopped) return;
     if (!isAnswering) {
       this.handleLost('silent, and no answer to a question');
       return;
     }
-    this.plan(lostAfterMs - askAfterMs, () => {
+    this.plan(lostAfterMs - probeAfterMs, () => {
       this.handleLost('silent, though the endpoint answers');
       return Promise.resolve();
     });
--- a/packages/gateway/src/serving/stream_attempt.ts
+++ b/packages/gateway/src/serving/stream_attempt.ts
@@ -3,13 +3,13 @@
  * the attempt is lost. Only complete events are passed on, each once.
  */
 import type {IncomingMessage} from 'node:http';
-import {EventSplitter, type WholeEvent} from '@irisdock/decisions';
-import {findAnswerFault} from '../channels/answer_check.js';
+import {EventSplitter, type ServerSentEvent} from '@irisdock/decisions';
+import {findResponseFault} from '../channels/response_check.js';
 import type {
-  EndpointAnswer,
-  EndpointSend,
+  EndpointResponse,
+  EndpointRequest,
 } from '../channels/endpoint_client.js';
-import type {HeaderLines, MemorySource} from '../model/request_terms.js';
+import type {HeaderLines, KvCacheSource} from '../model/request_metadata.js';
 import {readPlainAnswer} from './plain_answer_reader.js';
 import type {PlainAnswer} from './caller_exchange.js';
 import type {EndpointProber} from './endpoint_prober.js';
@@ -21,11 +21,11 @@
 export interface AttemptPlan {
   readonly endpoint: EndpointRecord;
   readonly backup: EndpointRecord | undefined;
-  readonly memorySource: MemorySource | undefined;
+  readonly kvCacheSource: KvCacheSource | undefined;
 }
 
 /** The request that an attempt sends. */
-export interface AttemptSend extends Omit<EndpointSend, 'signal'> {
+export interface AttemptSend extends Omit<EndpointRequest, 'signal'> {
   readonly requestId: string;
 }
 
@@ -49,7 +49,7 @@
   /** Receives status and headers, before the first events. */
   handleHead(status: number, lines: HeaderLines): void;
   /** Receives events; returns a promise if it needs time before the next. */
-  handleEvents(events: readonly WholeEvent[]): Promise<void> | undefined;
+  handleEvents(events: readonly ServerSentEvent[]): Promise<void> | undefined;
 }
 
 /** An answer with this status or a higher one is an error, not a stream. */
@@ -112,16 +112,18 @@
   }
 
   private async readAnswer(
-    answer: EndpointAnswer,
+    answer: EndpointResponse,
     requestId: string,
   ): Promise<AttemptResult> {
-    const {status, terms, lines} = answer;
-    const fault = findAnswerFault(answer, requestId);
+    const {status, metadata, lines} = answer;
+    const fault = findResponseFault(answer, requestId);
     if (fault !== undefined) {
       answer.close();
       return {kind: 'lost', mayHaveRun: true, detail: fault};
     }
-    if (terms.load !== undefined) this.plan.endpoint.recordLoad(terms.load);
+    if (metadata.load !== undefined) {
+      this.plan.endpoint.recordLoad(metadata.load);
+    }
     if (status >= MIN_FAILURE_STATUS) return this.readFailure(answer);
     if (!answer.isEventStream) {
       answer.close();
@@ -131,11 +133,11 @@
     return this.readEvents(answer);
   }
 
-  private async readFailure(answer: EndpointAnswer): Promise<AttemptResult> {
+  private async readFailure(answer: EndpointResponse): Promise<AttemptResult> {
     const {endpoint} = this.plan;
     const {endpoints, successors} = this.parts;
     const result = await readPlainAnswer(endpoints, endpoint, answer);
-    const {endpointId = endpoint.endpointId} = answer.terms;
+    const {endpointId = endpoint.endpointId} = answer.metadata;
     const isDifferentEndpoint = endpointId !== endpoint.endpointId;
     if (result.kind === 'refused' && isDifferentEndpoint) {
       await successors.accept(endpoint, endpointId);
@@ -144,7 +146,7 @@
     return {kind: 'failed', answer: result.answer};
   }
 
-  private async readEvents(answer: EndpointAnswer): Promise<AttemptResult> {
+  private async readEvents(answer: EndpointResponse): Promise<AttemptResult> {
     const splitter = new EventSplitter();
     await this.passEvents(answer.message, splitter);
     if (this.stopSignal.aborted) {
@@ -153,7 +155,7 @@
     }
     // Without chunked framing, an end of stream may be a crash of the engine.
     const isLost = this.lostDetail !== undefined || !answer.isFramed;
-    if (isLost || !answer.isWhole() || splitter.pendingBytes > 0) {
+    if (isLost || !answer.isComplete() || splitter.pendingBytes > 0) {
       answer.close();
       const detail = this.lostDetail ?? 'its stream was cut';
       return {kind: 'lost', mayHaveRun: true, detail};
--- a/packages/gateway/src/serving/stream_driver.ts
+++ b/packages/gateway/src/serving/stream_driver.ts
@@ -4,10 +4,10 @@
  * replicates its KV cache to an engine in another failure domain, so that the
  * next attempt need not process the prompt again.
  */
-import {EventProgress, type WholeEvent} from '@irisdock/decisions';
+import {EventProgress, type ServerSentEvent} from '@irisdock/decisions';
 import type {KnownError, LogFields} from '@irisdock/kernel';
 import {GATEWAY_ERRORS} from '../errors.js';
-import type {HeaderLines} from '../model/request_terms.js';
+import type {HeaderLines} from '../model/request_metadata.js';
 import type {ServingRoute} from '../model/serving_configuration.js';
 import type {AdmittedRequest, PlainAnswer} from './caller_exchange.js';
 import {KvCacheReplicator} from './kv_cache_replicator.js';
@@ -159,7 +159,7 @@
     plan: AttemptPlan,
     permit: SendPermit,
   ): Promise<AttemptResult> {
-    const {endpoint, backup, memorySource} = plan;
+    const {endpoint, backup, kvCacheSource} = plan;
     const {exchange, requestId, team, body} = this.request;
     const {expectedTokens} = this.planner;
     this.lastEndpoint = endpoint;
@@ -168,14 +168,14 @@
     const claim: UseClaim = {
       running: this.planner.countClaimedSlots(endpoint),
       unreadTokens:
-        memorySource === undefined ? this.planner.countUnread(endpoint) : 0,
+        kvCacheSource === undefined ? this.planner.countUnread(endpoint) : 0,
       expectedTokens,
     };
     const replicator = this.createReplicator(plan);
     const backupClaim = {running: 0, unreadTokens: 0, expectedTokens};
     endpoint.addClaim(claim);
     backup?.addClaim(backupClaim);
-    this.parts.endpoints.peers.uses.publishPlaced();
+    this.parts.endpoints.peers.usePublisher.publishPlaced();
     const attempt = this.createAttempt(plan, claim, replicator);
     const now = this.parts.clock.getNow();
     this.evidence.recordSend();
@@ -183,13 +183,13 @@
     this.report.recordSend(plan, this.progress.lastEventId, keptTokens);
     let isReplicaNeeded = true;
     try {
-      const lines = this.parts.codec.encodeSend(exchange.lines, {
+      const lines = this.parts.codec.encodeRequest(exchange.lines, {
         endpointId: endpoint.endpointId,
         team,
         remainingMs: computeRemainingMs(this.request, this.route, now),
         lastEventId: this.progress.lastEventId,
         backupAddress: backup?.address,
-        memorySource,
+        kvCacheSource,
       });
       const {method, path} = exchange;
       const send = {permit, requestId, method, path, lines, body};
@@ -201,7 +201,7 @@
       this.planner.setReplica(replicator.findReplica());
       endpoint.releaseClaim(claim);
       backup?.releaseClaim(backupClaim);
-      this.parts.endpoints.peers.uses.publishChanged();
+      this.parts.endpoints.peers.usePublisher.publishChanged();
     }
   }
 
@@ -234,7 +234,7 @@
   private markPromptRead(endpoint: EndpointRecord, claim: UseClaim): void {
     if (claim.unreadTokens === 0) return;
     endpoint.markPromptRead(claim);
-    this.parts.endpoints.peers.uses.publishChanged();
+    this.parts.endpoints.peers.usePublisher.publishChanged();
   }
 
   private createReplicator({endpoint, backup}: AttemptPlan): KvCacheReplicator {
@@ -252,7 +252,7 @@
   /** Writes events to the caller, each once and in order. */
   private passToCaller(
     plan: AttemptPlan,
-    events: readonly WholeEvent[],
+    events: readonly ServerSentEvent[],
     attempt: StreamAttempt,
   ): Promise<void> | undefined {
     const {exchange} = this.request;
@@ -263,12 +263,12 @@
       plan.endpoint.recordSuccess(undefined);
       this.evidence.recordFirstEvent(plan.endpoint);
     }
-    const {fresh, hasGap} = this.progress.accept(events);
+    const {newEvents, hasGap} = this.progress.accept(events);
     if (hasGap) attempt.end('events are missing');
-    const [first] = fresh;
+    const [first] = newEvents;
     if (first === undefined) return undefined;
     if (!this.isAnswerStarted) this.startAnswer();
-    const bytes = fresh.length === 1 ? first : Buffer.concat(fresh);
+    const bytes = newEvents.length === 1 ? first : Buffer.concat(newEvents);
     const hasRoom = exchange.writeStream(bytes);
     return hasRoom ? undefined : exchange.waitForDrain();
   }
@@ -283,7 +283,7 @@
     const {endpoint} = plan;
     if (result.kind === 'ended') return;
     this.planner.recordAttemptEnd(endpoint, result.kind === 'lost');
-    this.progress.startAfterLoss();
+    this.progress.markFailover();
     this.lossDetail = getAttemptDetail(result);
     const hasRun = hasPossiblyRun(result);
     this.retries.record(result);
@@ -294,7 +294,7 @@
     if (result.kind === 'stopped') return;
     recordEndpointFailure(this.parts.endpoints, endpoint, result.kind);
     if (!hasRun && result.kind === 'lost') {
-      this.parts.endpoints.peers.uses.publishLoss(endpoint.instanceId);
+      this.parts.endpoints.peers.usePublisher.publishLoss(endpoint.instanceId);
     }
     const {lastEventId} = this.progress;
     this.report.recordLoss(plan, result, this.lossDetail, lastEventId);
--- a/packages/gateway/src/serving/stream_planner.ts
+++ b/packages/gateway/src/serving/stream_planner.ts
@@ -4,14 +4,14 @@
  * cache, or else outside the engines and failure domains that were lost.
  */
 import {
-  chooseApart,
-  chooseBackup,
+  chooseIsolatedEngine,
+  chooseBackupEngine,
   chooseEngine,
-  decideFarCount,
+  decideRemoteEngineCount,
   type EngineRequest,
 } from '@irisdock/decisions';
 import {getSample} from '@irisdock/kernel';
-import type {RequestTerms} from '../model/request_terms.js';
+import type {RequestMetadata} from '../model/request_metadata.js';
 import type {AdmittedRequest} from './caller_exchange.js';
 import type {KvCacheReplica} from './kv_cache_replicator.js';
 import type {EndpointRecord} from './endpoint_record.js';
@@ -39,7 +39,7 @@
   private knownLoadEngines: readonly EndpointRecord[] | undefined;
   private trialEngines: readonly EndpointRecord[] | undefined;
   private keptTokens: ReadonlyMap<string, number> = new Map();
-  private readonly terms: RequestTerms;
+  private readonly terms: RequestMetadata;
   private readonly content: string;
 
   constructor(
@@ -58,9 +58,9 @@
 
   /** The expected size of the stream's KV cache, in tokens. */
   get expectedTokens(): number {
-    const {promptTokens, maxOutputTokens, guessedOutputTokens} = this.terms;
+    const {promptTokens, maxOutputTokens, estimatedOutputTokens} = this.terms;
     const guess =
-      guessedOutputTokens ?? maxOutputTokens * EXPECTED_OUTPUT_FRACTION;
+      estimatedOutputTokens ?? maxOutputTokens * EXPECTED_OUTPUT_FRACTION;
     return promptTokens + guess;
   }
 
@@ -72,10 +72,10 @@
   }
 
   /** Records that an engine's limit held an attempt back. */
-  recordHold({endpoint, memorySource}: AttemptPlan): void {
+  recordHold({endpoint, kvCacheSource}: AttemptPlan): void {
     this.held.add(endpoint.instanceId);
-    if (memorySource === undefined) return;
-    this.replica = {source: memorySource, holder: endpoint};
+    if (kvCacheSource === undefined) return;
+    this.replica = {source: kvCacheSource, holder: endpoint};
   }
 
   /** Makes engines whose limits held the stream back eligible again. */
@@ -109,7 +109,7 @@
     this.knownLoadEngines = undefined;
     if (this.findReplicaHolder(this.replica) !== undefined) return;
     const {endpoints, random} = this.parts;
-    const {groups, questions} = endpoints.peers;
+    const {groups, useQueries} = endpoints.peers;
     const usable = listLiveEndpoints(this.parts, this.service);
     const isHome = ({instanceId}: EndpointRecord): boolean =>
       groups.isHome(instanceId);
@@ -122,7 +122,7 @@
     const cachingEngines = others.filter(
       (engine) => this.countCachedTokens(engine) > 0,
     );
-    const count = decideFarCount(home, request);
+    const count = decideRemoteEngineCount(home, request);
     const sampled = getSample(others, count, random);
     const polled = new Set([...sampled, ...cachingEngines]);
     if (polled.size === 0) {
@@ -131,7 +131,7 @@
     }
     const ids = [...polled].map(({instanceId}) => instanceId);
     const knownLoadEngines = [...home];
-    for (const {instanceId, failures, ...use} of await questions.poll(ids)) {
+    for (const {instanceId, failures, ...use} of await useQueries.poll(ids)) {
       const engine = endpoints.find(instanceId);
       if (engine?.isUsable !== true) continue;
       engine.setHomeGroupUse(use, failures);
@@ -162,10 +162,10 @@
       chooseEngine(usable, request);
     if (endpoint === undefined) return undefined;
     const backup = this.isBackupEnabled()
-      ? chooseBackup(usable, endpoint, request)
+      ? chooseBackupEngine(usable, endpoint, request)
       : undefined;
-    const memorySource = holder === undefined ? undefined : replica?.source;
-    return {endpoint, backup, memorySource};
+    const kvCacheSource = holder === undefined ? undefined : replica?.source;
+    return {endpoint, backup, kvCacheSource};
   }
 
   /** Chooses the engine of a stream that crashed one; undefined for others. */
@@ -175,7 +175,7 @@
   ): EndpointRecord | undefined {
     const {content, parts} = this;
     if (parts.crashes.countCrashes(content) === 0) return undefined;
-    return chooseApart(usable, request, content);
+    return chooseIsolatedEngine(usable, request, content);
   }
 
   /** Takes an engine whose limit may have been lifted; only for new streams. */
@@ -203,7 +203,7 @@
     if (trialEngines === undefined) return undefined;
     const endpoint = chooseEngine(trialEngines, this.createEngineRequest());
     if (endpoint === undefined) return undefined;
-    return {endpoint, backup: undefined, memorySource: undefined};
+    return {endpoint, backup: undefined, kvCacheSource: undefined};
   }
 
   /** Counts the tokens of the prompt that an engine has in its cache. */
@@ -222,7 +222,7 @@
   /** Describes what the stream now requires of an engine. */
   createEngineRequest(): EngineRequest {
     return {
-      tokens: this.expectedTokens,
+      expectedTokens: this.expectedTokens,
       promptTokens: this.terms.promptTokens,
       excluded: this.held.size === 0 ? this.excluded : this.listExcluded(),
       avoidedDomains: this.avoidedDomains,
--- a/packages/gateway/src/serving/stream_report.ts
+++ b/packages/gateway/src/serving/stream_report.ts
@@ -25,7 +25,7 @@
     lastEventId: number | undefined,
     keptTokens: number,
   ): void {
-    const {endpoint, backup, memorySource} = plan;
+    const {endpoint, backup, kvCacheSource} = plan;
     this.parts.log.writeInfo('A stream is sent to an engine.', {
       request: this.requestId,
       endpoint: endpoint.instanceId,
@@ -33,7 +33,7 @@
       streams: endpoint.streams,
       unreadTokens: endpoint.unreadTokens,
       backup: backup?.instanceId,
-      withMemory: memorySource !== undefined,
+      withMemory: kvCacheSource !== undefined,
       keptTokens,
       lastEventId,
     });
@@ -99,7 +99,7 @@
       result: result.kind,
       detail,
       lastEventId,
-      hadMemory: plan.memorySource !== undefined,
+      hadMemory: plan.kvCacheSource !== undefined,
     });
   }
 
--- a/packages/gateway/src/serving/successors.ts
+++ b/packages/gateway/src/serving/successors.ts
@@ -9,7 +9,7 @@
  * four of 13 for 8 s in one case, while up to 11 streams shared another engine.
  */
 import type {Logger} from '@irisdock/kernel';
-import type {EngineReportCodec} from '../model/request_terms.js';
+import type {EngineReportCodec} from '../model/request_metadata.js';
 import type {GatewayConfiguration} from '../services/configuration.js';
 import type {GatewayEndpoints} from '../services/gateway_endpoints.js';
 import type {EndpointRecord} from './endpoint_record.js';
--- a/scripts/change_trials.mjs
+++ b/scripts/change_trials.mjs
@@ -9,7 +9,7 @@
 export const CHANGE_TRIALS = [
   [
     'change: a copy that nobody vouches for is checked',
-    `${TABLES}/copy_checks.js`,
+    `${TABLES}/freshness_checker.js`,
     'if (delayMs === 0) {',
     'if (false) {',
     FLEET,
@@ -17,7 +17,7 @@
   ],
   [
     'change: who is told of a change asks for it at once',
-    `${TABLES}/news_spreader.js`,
+    `${TABLES}/update_broadcaster.js`,
     'void this.loadMissing(datagram, follower);',
     '',
     FLEET,
@@ -33,7 +33,7 @@
   ],
   [
     'change: readers keep their turns apart',
-    `${DECISIONS}/reader_turns.js`,
+    `${DECISIONS}/poll_stagger.js`,
     'SHIFT_PART = 0.5',
     'SHIFT_PART = 0',
     FLEET,
@@ -105,7 +105,7 @@
   ],
   [
     'change: the store is asked to wait whole times',
-    `${DECISIONS}/reader_turns.js`,
+    `${DECISIONS}/poll_stagger.js`,
     'Math.round(turnMs * turns + shiftMs)',
     'turnMs * turns + shiftMs',
     'gateway/table_follower',
--- a/scripts/crash_trials.mjs
+++ b/scripts/crash_trials.mjs
@@ -9,8 +9,8 @@
   [
     'crash: three are enough',
     LEDGER,
-    'REFUSED_FROM = 3',
-    'REFUSED_FROM = 99',
+    'REFUSAL_THRESHOLD = 3',
+    'REFUSAL_THRESHOLD = 99',
     TEST,
     'at one host once',
   ],
@@ -24,7 +24,7 @@
   ],
   [
     'crash: all hosts are told at once',
-    `${GATEWAY}/services/crash_notices.js`,
+    `${GATEWAY}/services/crash_broadcaster.js`,
     "this.sendToAll({ kind: 'crashes', crashes: part })",
     'void part',
     TEST,
