--- a/packages/gateway/src/serving/retry_budgets.ts
+++ b/packages/gateway/src/serving/retry_budgets.ts
@@ -1,21 +1,21 @@
-/** The budgets of repeated sends, one a service. */
+/** The retry budgets of services. */
 import {
   WindowedRetryBudget,
   type WindowedRetryBudgetOptions,
 } from '@irisdock/decisions';
 
-/** The budgets. */
+/** Keeps one retry budget per service. */
 export class RetryBudgets {
   private readonly budgets = new Map<string, WindowedRetryBudget>();
 
-  /** @param countHosts Gives the hosts that share each budget. */
+  /** @param countHosts Returns the number of hosts that share each budget. */
   constructor(
     private options: WindowedRetryBudgetOptions,
     private readonly countHosts: () => number,
     private readonly getNow: () => number,
   ) {}
 
-  /** Takes other bounds; what was sent so far counts against them. */
+  /** Replaces the bounds; earlier requests and retries count against them. */
   setBounds(options: WindowedRetryBudgetOptions): void {
     this.options = options;
     for (const budget of this.budgets.values()) budget.setBounds(options);
@@ -26,7 +26,7 @@
     this.getBudget(service).addRequest(this.getNow());
   }
 
-  /** Takes one repeated send; false when this host's share is used up. */
+  /** Takes one retry; false when this host's share of the budget is used up. */
   takeRetry(service: string): boolean {
     const hosts = this.countHosts();
     return this.getBudget(service).takeRetry(this.getNow(), hosts);
