--- a/packages/gateway/src/model/request_metadata.ts
+++ b/packages/gateway/src/model/request_metadata.ts
@@ -6,10 +6,7 @@
 
 import type {AdvertisedLimit, PauseRequest} from '@irisdock/decisions';
 
-export type {
-  AdvertisedLimit as NamedLimit,
-  PauseRequest,
-} from '@irisdock/decisions';
+export type {AdvertisedLimit, PauseRequest} from '@irisdock/decisions';
 
 /** A part of a prompt that may be shared by several requests. */
 export interface PromptPart {
