--- a/packages/gateway/src/tables/freshness_checker.ts
+++ b/packages/gateway/src/tables/freshness_checker.ts
@@ -1,8 +1,8 @@
 /**
  * Bounds the age of this host's table replicas. When no other host has
  * confirmed a replica as current within its maximum age, this host polls the
- * store itself (`ReplicaCheckSchedule` decides when) and sends the result to the other
- * hosts, so that they need not poll too.
+ * store itself (`ReplicaCheckSchedule` decides when) and sends the result to
+ * the other hosts, so that they need not poll too.
  */
 import {ReplicaCheckSchedule} from '@irisdock/decisions';
 import type {Clock, Logger, Random} from '@irisdock/kernel';
@@ -33,10 +33,10 @@
 export class FreshnessChecker {
   private readonly closing = new AbortController();
   /** Shared by all tables: a failure for one delays polls for the others. */
-  private readonly check: ReplicaCheckSchedule;
+  private readonly schedule: ReplicaCheckSchedule;
 
   constructor(private readonly parts: FreshnessCheckerParts) {
-    this.check = new ReplicaCheckSchedule(parts.random);
+    this.schedule = new ReplicaCheckSchedule(parts.random);
   }
 
   start(): void {
@@ -52,7 +52,7 @@
     while (!signal.aborted) {
       const delayMs = this.getDelayMs(table);
       if (delayMs === 0) {
-        await this.checkCopy(table);
+        await this.checkReplica(table);
         continue;
       }
       const waitMs = Math.max(MIN_RECHECK_MS, delayMs);
@@ -67,10 +67,10 @@
     const now = clock.getNow();
     const ageMs = standing.getAgeMs(table, now);
     const hosts = this.parts.countHosts();
-    return this.check.getDelayMs(ageMs, maxAgeMs, hosts, now);
+    return this.schedule.getDelayMs(ageMs, maxAgeMs, hosts, now);
   }
 
-  private async checkCopy(table: ReplicatedTable): Promise<void> {
+  private async checkReplica(table: ReplicatedTable): Promise<void> {
     const {clock, tables, standing, log} = this.parts;
     const ageMs = Math.round(standing.getAgeMs(table, clock.getNow()));
     const update = await tables[table].pollStore();
@@ -79,10 +79,10 @@
     const fields = {table, ageMs, isAnswered};
     log.writeInfo('Polled the store for an unconfirmed replica.', fields);
     if (update === undefined) {
-      this.check.recordFailure(clock.getNow());
+      this.schedule.recordFailure(clock.getNow());
       return;
     }
-    this.check.recordSuccess();
+    this.schedule.recordSuccess();
     this.parts.publish(table, update);
   }
 }
--- a/packages/gateway/src/tables/peer_table_loader.ts
+++ b/packages/gateway/src/tables/peer_table_loader.ts
@@ -27,7 +27,7 @@
 const MAX_CONCURRENT_SOURCES = 2;
 
 /** The state of loading one table. */
-interface TablePull {
+interface TableLoad {
   readonly sources: UpdateSources;
   /** The addresses whose responses are awaited. */
   readonly pending: Set<string>;
@@ -38,10 +38,10 @@
 
 /** Loads tables from other hosts. */
 export class PeerTableLoader {
-  private readonly pulls: Readonly<Record<ReplicatedTable, TablePull>> = {
-    configuration: createPull(),
-    endpoints: createPull(),
-    crashes: createPull(),
+  private readonly loads: Readonly<Record<ReplicatedTable, TableLoad>> = {
+    configuration: createLoad(),
+    endpoints: createLoad(),
+    crashes: createLoad(),
   };
 
   constructor(
@@ -50,7 +50,7 @@
     private readonly clock: Clock,
     private readonly log: Logger,
     private readonly acceptHosts: (
-      changes: readonly HostUpdate<PeerLocation>[],
+      updates: readonly HostUpdate<PeerLocation>[],
     ) => void,
   ) {}
 
@@ -82,7 +82,7 @@
   /** Loads changes that were reported but not received in the grace time. */
   loadNewer(now: number): void {
     for (const table of REPLICATED_TABLES) {
-      const {behindSince = now} = this.pulls[table];
+      const {behindSince = now} = this.loads[table];
       const {isLoaded} = this.tables[table].replica;
       const isWaiting = isLoaded && now - behindSince < BROADCAST_GRACE_MS;
       if (!isWaiting) void this.loadTable(table);
@@ -114,11 +114,11 @@
     now: number,
   ): void {
     const own = this.tables[table].replica.lastChange;
-    const pull = this.pulls[table];
+    const load = this.loads[table];
     if (revision <= own) return;
-    pull.sources.recordAnnouncement(address, revision);
-    if (pull.behindSince !== undefined) return;
-    pull.behindSince = now;
+    load.sources.recordAnnouncement(address, revision);
+    if (load.behindSince !== undefined) return;
+    load.behindSince = now;
     if (table !== 'configuration') return;
     this.log.writeInfo('A host reported a newer change.', {
       table,
@@ -129,27 +129,27 @@
   }
 
   private async loadTable(table: ReplicatedTable): Promise<void> {
-    const pull = this.pulls[table];
-    pull.running ??= this.trySources(table, pull).finally(() => {
-      pull.running = undefined;
+    const load = this.loads[table];
+    load.running ??= this.trySources(table, load).finally(() => {
+      load.running = undefined;
     });
-    await pull.running;
+    await load.running;
   }
 
   private async trySources(
     table: ReplicatedTable,
-    pull: TablePull,
+    load: TableLoad,
   ): Promise<void> {
     const {replica} = this.tables[table];
-    const {sources, pending} = pull;
+    const {sources, pending} = load;
     for (;;) {
       const address = sources.choose(replica.lastChange, pending);
       if (address === undefined) break;
-      const response = this.trySource(table, pull, address);
+      const response = this.trySource(table, load, address);
       await Promise.race([response, this.clock.wait(SECOND_SOURCE_DELAY_MS)]);
       if (pending.size >= MAX_CONCURRENT_SOURCES) await response;
     }
-    if (!sources.hasUpdate(replica.lastChange)) pull.behindSince = undefined;
+    if (!sources.hasUpdate(replica.lastChange)) load.behindSince = undefined;
   }
 
   /**
@@ -160,7 +160,7 @@
    */
   private async trySource(
     table: ReplicatedTable,
-    {sources, pending}: TablePull,
+    {sources, pending}: TableLoad,
     address: string,
   ): Promise<void> {
     const reported = sources.getAnnounced(address);
@@ -179,7 +179,7 @@
     const startedAt = clock.getNow();
     const after: Partial<Record<ReplicatedTable, number>> = {};
     for (const table of requested) {
-      after[table] = getLoadAfter(tables[table].replica);
+      after[table] = getStartRevision(tables[table].replica);
     }
     const response = await this.source.load(address, {after, withHosts});
     if (response.isErr()) {
@@ -208,7 +208,7 @@
   }
 }
 
-function createPull(): TablePull {
+function createLoad(): TableLoad {
   return {
     sources: new UpdateSources(),
     pending: new Set(),
@@ -218,6 +218,6 @@
 }
 
 /** The revision after which changes are requested; -1 for the whole table. */
-function getLoadAfter(replica: TableReplica): number {
+function getStartRevision(replica: TableReplica): number {
   return replica.isLoaded ? replica.lastChange : -1;
 }
--- a/packages/gateway/src/tables/restore_grace_period.ts
+++ b/packages/gateway/src/tables/restore_grace_period.ts
@@ -19,19 +19,19 @@
 
 /** The grace period of one table. */
 export class RestoreGracePeriod {
-  private settlesAt = -Infinity;
+  private endsAt = -Infinity;
   private running: Promise<void> | undefined;
 
   constructor(private readonly parts: RestoreGracePeriodParts) {}
 
   /** Whether the grace period has not ended yet. */
   isActive(now: number): boolean {
-    return now < this.settlesAt;
+    return now < this.endsAt;
   }
 
   /** Starts the grace period; restarts it on another restore. */
   start(now: number): void {
-    this.settlesAt = now + RECOVERY_GRACE_MS;
+    this.endsAt = now + RECOVERY_GRACE_MS;
   }
 
   /** Schedules a read of the whole table for the end of the period. */
@@ -49,7 +49,7 @@
   private async run(): Promise<void> {
     const {clock, signal, retryMs, readWhole} = this.parts;
     while (!signal.aborted) {
-      const leftMs = this.settlesAt - clock.getNow();
+      const leftMs = this.endsAt - clock.getNow();
       if (leftMs > 0) {
         await clock.wait(leftMs, signal);
         continue;
--- a/packages/gateway/src/tables/store_status.ts
+++ b/packages/gateway/src/tables/store_status.ts
@@ -1,6 +1,7 @@
 /**
  * Tracks the store as seen by all hosts: which hosts read it, how old this
- * host's replicas are, and how long endpoints that vanished from it stay in use.
+ * host's replicas are, and how long endpoints that vanished from it stay in
+ * use.
  */
 import {
   chooseStoreReaders,
@@ -20,8 +21,8 @@
  */
 const READER_COUNT = 3;
 /**
- * The upper bound of ages and delays, in ms; stands for as long as the store is
- * unavailable. Longer than any host is unavailable.
+ * The upper bound of reported ages and delays, in ms; also stands for the
+ * infinite delay while the store is unavailable. No host is away for so long.
  */
 const MAX_REPORTED_MS = 60_000;
 
@@ -89,7 +90,7 @@
     const {configuration, endpoints} = this.tables;
     if (!this.isReading) return undefined;
     this.reportCount++;
-    const delayMs = endpoints.contact.getDepartureDelayMs(now);
+    const delayMs = endpoints.reachability.getDepartureDelayMs(now);
     return {
       name: own.name,
       incarnation: own.incarnation,
@@ -131,7 +132,7 @@
     const {endpoints} = this.tables;
     const reportedMs = this.readerReports.getDepartureDelayMs(now);
     if (!endpoints.isReading) return reportedMs ?? 0;
-    const ownMs = endpoints.contact.getDepartureDelayMs(now);
+    const ownMs = endpoints.reachability.getDepartureDelayMs(now);
     return Math.min(ownMs, reportedMs ?? ownMs);
   }
 
--- a/packages/gateway/src/tables/table_follower.ts
+++ b/packages/gateway/src/tables/table_follower.ts
@@ -36,7 +36,7 @@
 /** Keeps the replica of one table up to date. */
 export class TableFollower {
   readonly replica = new TableReplica();
-  readonly contact = new StoreReachability();
+  readonly reachability = new StoreReachability();
   private readonly age = new ReplicaAge();
   private readonly changeChannel = new Channel<readonly ReplicaRow[]>();
   /** Rows that changed in the replica, in the order of their revisions. */
@@ -49,7 +49,7 @@
   private readonly tableLog: TableLog;
   private role: ReaderRole = 'listener';
   private resumeReading: (() => void) | undefined;
-  private readonly turns: PollStagger;
+  private readonly stagger: PollStagger;
   private readonly updates = new Channel<StoreUpdate>();
   /** What this host itself reads from the store. */
   readonly storeUpdates = this.updates.stream;
@@ -66,7 +66,7 @@
     log: Logger,
   ) {
     this.tableLog = new TableLog(table, log);
-    this.turns = new PollStagger(options.waitMs);
+    this.stagger = new PollStagger(options.waitMs);
     this.gracePeriod = new RestoreGracePeriod({
       clock,
       signal: this.controller.signal,
@@ -92,14 +92,14 @@
 
   /** Whether the last call to the store failed, and did so recently. */
   hasStoreFailedRecently(now: number): boolean {
-    return this.contact.isAway && now - this.failedAt < RECENT_FAILURE_MS;
+    return this.reachability.isAway && now - this.failedAt < RECENT_FAILURE_MS;
   }
 
   /** Sets how this host follows the store. */
   setRole(role: ReaderRole): void {
     if (isSameRole(role, this.role)) return;
     this.role = role;
-    this.turns.startCycle(0);
+    this.stagger.startCycle(0);
     this.tableLog.writeRole(role);
     if (this.mustRead) this.resumeReading?.();
   }
@@ -148,7 +148,7 @@
     const {replica} = this;
     if (!replica.isLoaded) return false;
     const at = this.clock.getNow() - ageMs;
-    if (isScheduledPoll) this.turns.recordPeerAnswer(at);
+    if (isScheduledPoll) this.stagger.recordPeerAnswer(at);
     const isFresher = this.age.acceptReport(
       {latestRevision: newest, at},
       replica.lastChange,
@@ -228,21 +228,21 @@
     const isWhole = this.mustReload || !replica.isLoaded;
     const startedAt = this.clock.getNow();
     const rank = typeof this.role === 'object' ? this.role : SOLE_READER;
-    const waitMs = isWhole ? 0 : this.turns.takePollWaitMs(rank, startedAt);
+    const waitMs = isWhole ? 0 : this.stagger.takePollWaitMs(rank, startedAt);
     const result = isWhole
       ? await store.readAll(table)
       : await store.readChanges(table, replica.revision, waitMs);
     const now = this.clock.getNow();
     if (this.controller.signal.aborted) return 0;
     if (result.isErr()) return this.handleError(result.error.kind, now);
-    this.recordContact(now);
+    this.recordSuccess(now);
     if (isWhole) return this.applyWholeTable(result.value);
     const update = this.applyRead(result.value, 'store');
     // The role may have changed since the call began.
     if (this.isReading || update.rows.length > 0) this.updates.post(update);
     const hasChanged = result.value.rows.length > 0;
     // Also when another reader reported it first: all calls return at once.
-    if (hasChanged) this.turns.startCycle(this.paceMs);
+    if (hasChanged) this.stagger.startCycle(this.paceMs);
     // A store that does not wait as requested is not polled in a busy loop.
     const hasWaited = now - startedAt >= waitMs / 2;
     return hasChanged || !hasWaited ? this.paceMs : 0;
@@ -323,7 +323,7 @@
     if (isRestored) {
       const now = this.clock.getNow();
       this.tableLog.writeRestored(revision, this.replica.revision, source);
-      this.contact.recordRestored(now);
+      this.reachability.recordRestored(now);
       this.gracePeriod.start(now);
     }
     const changed = change();
@@ -355,21 +355,21 @@
 
   private handleError(kind: string, now: number): number {
     if (kind === 'store_history_lost') {
-      this.recordContact(now);
+      this.recordSuccess(now);
       this.mustReload = true;
       this.tableLog.writeHistoryLost();
       return 0;
     }
-    if (!this.contact.isAway) this.tableLog.writeUnavailable(kind);
-    this.contact.recordFailure(now);
+    if (!this.reachability.isAway) this.tableLog.writeUnavailable(kind);
+    this.reachability.recordFailure(now);
     this.failedAt = now;
-    this.turns.startCycle(0);
+    this.stagger.startCycle(0);
     return this.options.retryMs;
   }
 
-  private recordContact(now: number): void {
-    if (this.contact.isAway) this.tableLog.writeAvailable();
-    this.contact.recordSuccess(now);
+  private recordSuccess(now: number): void {
+    if (this.reachability.isAway) this.tableLog.writeAvailable();
+    this.reachability.recordSuccess(now);
   }
 
   private publish(changed: readonly ReplicaRow[], source: string): void {
