--- a/packages/gateway/src/tables/store_status.ts
+++ b/packages/gateway/src/tables/store_status.ts
@@ -22,7 +22,8 @@
 const READER_COUNT = 3;
 /**
  * The upper bound of reported ages and delays, in ms; also stands for the
- * infinite delay while the store is unavailable. No host is away for so long.
+ * infinite delay while the store is unavailable. No host stays unreachable for
+ * so long.
  */
 const MAX_REPORTED_MS = 60_000;
 
--- a/packages/gateway/tests/change_in_time.test.ts
+++ b/packages/gateway/tests/change_in_time.test.ts
@@ -15,7 +15,7 @@
 
 /** The promised time, and the target without failures, in simulated ms. */
 const MAX_DELAY_MS = 2000;
-const UNDISTURBED_MS = 500;
+const MAX_UNDISTURBED_DELAY_MS = 500;
 const SEEDS = [1, 2, 3];
 const SETTLE_MS = 8000;
 /** Far longer than any change may take to reach all hosts, in simulated ms. */
@@ -26,10 +26,7 @@
   readonly domains: number;
 }
 
-/**
- * The size at which the failure was observed, and one at which hosts form
- * groups.
- */
+/** The size at which the failure was observed, and one with groups of hosts. */
 const SIZES: readonly FleetSize[] = [
   {hosts: 8, domains: 4},
   {hosts: 60, domains: 6},
@@ -41,9 +38,7 @@
   return fleet;
 }
 
-/**
- * Gives the longest delay of any of the versions on any of the hosts, in ms.
- */
+/** Gives the longest delay of any version on any host, in ms. */
 function getMaxDelayMs(
   fleet: TableFleet,
   versions: readonly number[],
@@ -66,8 +61,7 @@
        * The row of a configuration does not fit into a datagram, so its changes
        * cannot be broadcast with their rows. If they were not announced either,
        * each host would wait for another's heartbeat, the 250 ms of grace and
-       * its own next heartbeat: at 60 hosts the last one had a change after 1.3
-       * s.
+       * its own next heartbeat, and the last of 60 hosts has it after 1.3 s.
        */
       it('is in force at once while nothing is wrong', async () => {
         const fleet = await createFleet(size, seed);
@@ -79,7 +73,7 @@
         await fleet.clock.run(DRAIN_MS);
         fleet.stop();
         const maxDelayMs = getMaxDelayMs(fleet, versions);
-        assert.ok(maxDelayMs <= UNDISTURBED_MS, `${maxDelayMs} ms`);
+        assert.ok(maxDelayMs <= MAX_UNDISTURBED_DELAY_MS, `${maxDelayMs} ms`);
       });
 
       /*
