--- a/packages/decisions/src/cached_prompt.ts
+++ b/packages/decisions/src/cached_prompt.ts
@@ -1,18 +1,19 @@
 /**
- * How much of a prompt an engine keeps from earlier runs. A part counts only
- * when every part before it is kept whole, as it was read after them.
+ * Computes how many tokens of a prompt an engine has cached from earlier runs.
+ * Cached state depends on all tokens before it, so a part counts only when
+ * every part before it is cached whole.
  */
 
-/** A part of a prompt. */
+/** A part of a prompt, by id and length. */
 export interface PromptPartView {
   readonly id: string;
   readonly tokens: number;
 }
 
 /**
- * Gives the tokens of a prompt that need not be read again.
+ * Returns the number of leading tokens that need no prefill.
  *
- * @param kept Tokens that the engine keeps of each part, by the part's id.
+ * @param kept Cached tokens of each part, by the part's id.
  */
 export function computeCachedTokens(
   prompt: readonly PromptPartView[],
--- a/packages/decisions/src/lease.ts
+++ b/packages/decisions/src/lease.ts
@@ -1,42 +1,44 @@
 /**
- * Leases on work that one host at a time does. A lease is a row of the
- * platform's table with a fencing number that grows with each new holder. The
- * holder stops a margin before its lease ends by its own monotonic clock; the
- * next one waits the lease and the longest order out, counted from when it
- * itself first saw the row unchanged, so that no two clocks are compared.
+ * Leases on work that only one host at a time may do. A lease is a row in the
+ * platform's table with a fencing token that grows with each new holder. The
+ * holder stops a safety margin before its lease expires by its own monotonic
+ * clock. Another host acquires the lease only after it has seen the row
+ * unchanged, by its own clock, for the lease plus the longest order, so clocks
+ * of different hosts are never compared.
  */
 
-/** A lease row as it was read. */
+/** A lease row as read from the table. */
 export interface LeaseRow {
   readonly holder: string;
+  /** The fencing token. */
   readonly fence: number;
-  /** Changes with each renewal. */
+  /** Grows with each renewal. */
   readonly renewal: number;
 }
 
-/** How long leases last, in milliseconds. */
+/** Durations of a lease, in milliseconds. */
 export interface LeaseTimings {
   readonly leaseMs: number;
-  /** How long before its end the holder stops. */
+  /** How long before the expiry the holder stops. */
   readonly marginMs: number;
-  /** The longest that an order may be on its way. */
+  /** The longest time that an order may be in flight. */
   readonly maxOrderMs: number;
 }
 
-/** The times unless settings say otherwise. */
+/** Default durations. */
 export const DEFAULT_LEASE_TIMINGS: LeaseTimings = {
   leaseMs: 9000,
   marginMs: 3000,
   maxOrderMs: 3000,
 };
 
-/** What to do about the lease. */
+/** The next step of a host that wants the lease. */
 export type LeaseStep =
   | {readonly step: 'acquire'; readonly row: LeaseRow}
   | {readonly step: 'renew'; readonly row: LeaseRow}
   | {readonly step: 'wait'};
 
-/** One host's side of a lease. */
+/** Tracks a lease from the view of one host. */
 export class LeaseState {
   private seen: {row: LeaseRow; since: number} | undefined;
   private held: {fence: number; until: number} | undefined;
@@ -46,12 +48,17 @@
     private readonly times: LeaseTimings,
   ) {}
 
-  /** Decides from the row that a read begun at `now` gave. */
+  /**
+   * Decides the next step.
+   *
+   * @param row The row as read; undefined if there is none.
+   * @param now When the read began.
+   */
   decide(row: LeaseRow | undefined, now: number): LeaseStep {
     if (row === undefined) return this.createAcquire(0, 0);
     if (row.holder === this.self) {
       const renewal = row.renewal + 1;
-      // A host that let its lease lapse takes a new fencing number.
+      // A host whose lease expired needs a new fencing token.
       if (this.getFencingToken(now) === undefined) {
         return this.createAcquire(row.fence, row.renewal);
       }
@@ -66,9 +73,9 @@
   }
 
   /**
-   * Notes that a write took effect.
+   * Records that a lease row was written.
    *
-   * @param begunAt When the write was begun; the lease counts from there.
+   * @param begunAt When the write began; the lease runs from then on.
    */
   recordWrite(row: LeaseRow, begunAt: number): void {
     this.seen = undefined;
@@ -76,7 +83,7 @@
     this.held = {fence: row.fence, until};
   }
 
-  /** Gives the fencing number while orders may be begun. */
+  /** Returns the fencing token while orders may be started. */
   getFencingToken(now: number): number | undefined {
     if (this.held === undefined || now >= this.held.until) return undefined;
     return this.held.fence;
--- a/packages/decisions/src/leaving_hold_down.ts
+++ b/packages/decisions/src/leaving_hold_down.ts
@@ -1,25 +1,26 @@
 /**
- * One word on each host out of a list that lags and may contradict itself: it
- * can name a host twice, or be read from copies of different age, so that a
- * host which leaves is live again in the next read. Whoever was seen leaving
- * counts as leaving for a while, as work sent to it is lost, and work kept
- * from it is not. docs/design/endpoint_choice.md.
+ * Damps state changes in a host list that is stale and may contradict itself:
+ * it can name an address twice, or come from replicas of different age, so
+ * that a leaving host looks live again in the next read. An address that was
+ * seen leaving counts as leaving for a hold-down time: work sent to a leaving
+ * host is lost, work sent elsewhere is not. See
+ * docs/design/endpoint_choice.md.
  */
 
-/** What the list says of one host. */
+/** An entry of the list. */
 export interface ListedAddress {
   readonly address: string;
   readonly state: 'leaving' | 'live';
 }
 
-/** Remembers who was seen leaving. */
+/** Holds addresses in the leaving state after they were last seen leaving. */
 export class LeavingHoldDown<T extends ListedAddress> {
   private readonly seenAt = new Map<string, number>();
 
-  /** @param holdMs How long one that was seen leaving counts as leaving. */
+  /** @param holdMs The hold-down time, in ms. */
   constructor(private readonly holdMs: number) {}
 
-  /** Takes a list as it was read; gives one entry for each address. */
+  /** Merges a list as read into one entry for each address. */
   apply(list: readonly T[], now: number): T[] {
     for (const {address, state} of list) {
       if (state === 'leaving') this.seenAt.set(address, now);
--- a/packages/decisions/src/loss_response.ts
+++ b/packages/decisions/src/loss_response.ts
@@ -1,60 +1,63 @@
 /**
- * What to do when a stream is lost: attach again to the generation that its
- * engine may still run, go on elsewhere from the tokens passed on, or give up
- * at once. docs/design/resumption.md.
+ * Decides what to do when the stream from an engine is lost: attach again to
+ * the generation, which the engine may still run, continue on another engine
+ * from the last token passed on, or give up. See docs/design/resumption.md.
  */
 
 /** How a stream was lost. */
 export type LossKind =
   /** A token or the end before the last token was missing. */
   | 'gap'
-  /** The engine says that it runs no such generation. */
+  /** The engine doesn't know the generation. */
   | 'gone'
-  /** The engine had no room; nothing ran. */
+  /** The engine had no capacity; nothing ran. */
   | 'refused'
-  /** The connection ended. */
+  /** The connection was closed early. */
   | 'reset'
-  /** Silence, and no answer to a probe. */
+  /** No event arrived, and the engine didn't answer a probe. */
   | 'silent'
-  /** Silence, though the engine answers. */
+  /** No event arrived, though the engine answers probes. */
   | 'stalled'
   /** No connection could be made. */
   | 'unreachable'
   /** Another host took the request over. */
   | 'superseded';
 
-/** Where the request stands. */
+/** The state of a request whose stream was lost. */
 export interface LossState {
   readonly loss: LossKind;
   /** Whether the order may have reached the engine. */
   readonly mayHaveRun: boolean;
   /** Whether the request may be run again or continued elsewhere. */
   readonly mayContinue: boolean;
-  /** Attaches to this engine since the last token passed on. */
+  /** Attempts to attach to this engine since the last token passed on. */
   readonly attachAttempts: number;
   /** Losses that count since the last token passed on. */
   readonly losses: number;
-  /** Whether the retry budget has room. */
+  /** Whether the retry budget allows another attempt. */
   readonly hasRetryBudget: boolean;
 }
 
-/** What to do next. */
+/** What to do after a loss. */
 export type LossResponse =
   'abandon' | 'attach' | 'continue' | 'give_up_not_run' | 'give_up_unknown';
 
+/** Attempts to attach to one engine without a new token. */
 const MAX_ATTACHES = 2;
+/** Counted losses without a new token. */
 const MAX_LOSSES = 8;
 
 /**
- * Tells whether a loss counts against the retry budget and the most losses.
- * An engine that could not be reached took nothing, so an answer under way
- * goes on from it freely, bounded in time; a request that never ran does not.
+ * Tells whether a loss counts against the retry budget and `MAX_LOSSES`. An
+ * engine that couldn't be reached did no work, so a started answer moves on to
+ * another one without being counted, limited by time only. For a request that
+ * never ran, such a loss counts.
  */
 export function isLossCounted(loss: LossKind, mayHaveRun: boolean): boolean {
   return loss !== 'unreachable' || !mayHaveRun;
 }
 
-/** Decides what follows a loss. */
+/** Decides what to do after a loss. */
 export function decideLossResponse(state: LossState): LossResponse {
   if (state.loss === 'superseded') return 'abandon';
   if (isWorthAttaching(state)) return 'attach';
--- a/packages/decisions/src/member.ts
+++ b/packages/decisions/src/member.ts
@@ -1,14 +1,14 @@
-/** What a host knows of another, and which of two notes is the newer. */
+/** Membership records that hosts gossip, and how two of them are ordered. */
 
-/** What a host is to others. */
+/** The state of a host as other hosts see it. */
 export type MemberState = 'dead' | 'leaving' | 'live' | 'suspect';
 
-/** A note on a host, passed from host to host. */
+/** A record of one host, passed on from host to host. */
 export interface MemberNote {
   readonly hostId: string;
-  /** Ordered by its text; a restart gives a higher one. */
+  /** Compared as text; a restarted host has a higher one. */
   readonly incarnation: string;
-  /** Grows with each note that the host gives of itself. */
+  /** Grows with each record that the host publishes about itself. */
   readonly sequence: number;
   readonly state: MemberState;
   readonly callerAddress: string;
@@ -17,8 +17,8 @@
   readonly revision: number;
 }
 
-// At the same sequence, a worse word of a host goes before a better one; the
-// host itself answers with a higher sequence.
+// At the same sequence number, the worse state wins. A host that is wrongly
+// suspected refutes that with a higher sequence number.
 const STATE_RANK: Readonly<Record<MemberState, number>> = {
   live: 0,
   leaving: 1,
@@ -26,7 +26,7 @@
   dead: 3,
 };
 
-/** Tells whether a note is news against what is known. */
+/** Tells whether a record supersedes the known one. */
 export function isNewerNote(note: MemberNote, known: MemberNote): boolean {
   if (note.incarnation !== known.incarnation) {
     return note.incarnation > known.incarnation;
--- a/packages/decisions/src/membership_view.ts
+++ b/packages/decisions/src/membership_view.ts
@@ -1,24 +1,26 @@
 /**
- * The hosts of the deployment as one host sees them. Each host is watched by
- * a few others; a watcher that hears nothing passes on that the host is
- * suspect; the host itself, when it hears that, contradicts; a suspect that
- * does not is dead after a while. What is news is passed on once.
+ * The membership of the deployment as one host sees it. Each host is monitored
+ * by a few others. A monitor that misses heartbeats gossips that the host is
+ * suspect; the suspect refutes this when it learns of it, and is declared dead
+ * after a timeout otherwise. Each new record is passed on once. See
  * docs/design/membership.md.
  */
 import {isNewerNote, type MemberNote, type MemberState} from './member.js';
 import {chooseWatchTargets} from './watch_targets.js';
 
-/** When silence becomes suspicion and suspicion certainty, in ms. */
+/** Timeouts of the failure detection, in ms. */
 export interface MembershipTimeouts {
+  /** Without a heartbeat, until a host is suspected. */
   readonly suspectAfterMs: number;
+  /** From suspect to dead. */
   readonly deadAfterMs: number;
-  /** The same for a suspect whose address refuses connections. */
+  /** From suspect to dead if the host's address refuses connections. */
   readonly goneAfterMs: number;
-  /** When a dead host is forgotten. */
+  /** From dead until the record is removed. */
   readonly forgetAfterMs: number;
 }
 
-/** The times unless settings say otherwise. */
+/** Default timeouts. */
 export const DEFAULT_MEMBERSHIP_TIMEOUTS: MembershipTimeouts = {
   suspectAfterMs: 2500,
   deadAfterMs: 3000,
@@ -26,24 +28,25 @@
   forgetAfterMs: 600_000,
 };
 
-/** How long a peer that is tried has its turn, in milliseconds. */
-const TRY_TURN_MS = 1000;
+/** How long the same peers are returned for reconnecting, in milliseconds. */
+const RECONNECT_TURN_MS = 1000;
 
 interface Member {
   note: MemberNote;
-  /** When the present state was taken. */
+  /** When the current state was entered. */
   since: number;
-  /** Whether its address refused a connection in the present state. */
+  /** Whether its address refused a connection in the current state. */
   isRefusing: boolean;
-  /** From when on a refusal counts; it contradicted one before. */
+  /** Refused connections before this time are ignored. */
   refusalsFrom: number;
 }
 
-/** The hosts as one host sees them. */
+/** The membership as one host sees it. */
 export class MembershipView {
   private readonly members = new Map<string, Member>();
-  /** When the watched hosts were last heard. */
+  /** When each monitored host last sent a heartbeat. */
   private heardAt = new Map<string, number>();
+  /** Peer addresses in the host list. */
   private listed: ReadonlySet<string> = new Set<string>();
 
   constructor(
@@ -51,28 +54,28 @@
     private readonly times: MembershipTimeouts,
   ) {}
 
-  /** The note that this host gives of itself. */
+  /** This host's record of itself. */
   get self(): MemberNote {
     return this.own;
   }
 
-  /** Gives the note on a host. */
+  /** Finds the record of a host. */
   find(hostId: string): MemberNote | undefined {
     if (hostId === this.own.hostId) return this.own;
     return this.members.get(hostId)?.note;
   }
 
-  /** Gives the notes on all hosts, this one first. */
+  /** Lists the records of all hosts, this one first. */
   list(): MemberNote[] {
     return [this.own, ...[...this.members.values()].map((m) => m.note)];
   }
 
-  /** Gives the hosts that callers may be sent to. */
+  /** Lists the hosts that accept callers. */
   listServing(): MemberNote[] {
     return this.list().filter((note) => note.state === 'live');
   }
 
-  /** Gives the hosts to watch now. */
+  /** Lists the hosts that this one should monitor now. */
   listWatchTargets(): MemberNote[] {
     const alive = this.list().filter((note) => note.state !== 'dead');
     const ids = chooseWatchTargets(
@@ -82,7 +85,10 @@
     return alive.filter((note) => ids.includes(note.hostId));
   }
 
-  /** Counts the hosts heard of late and the hosts there should be. */
+  /**
+   * Counts the hosts that are reachable (`heard`) and those that should exist
+   * (`known`), this one included in both.
+   */
   countHosts(): {heard: number; known: number} {
     let heard = 1;
     const known = new Set([...this.listed, this.own.peerAddress]);
@@ -93,14 +99,14 @@
     return {heard, known: known.size};
   }
 
-  /** Changes what this host says of itself; gives the note to pass on. */
+  /** Updates this host's record of itself; returns it to be passed on. */
   updateSelf(change: {state?: MemberState; revision?: number}): MemberNote {
     const sequence = this.own.sequence + 1;
     this.own = {...this.own, ...change, sequence};
     return this.own;
   }
 
-  /** Takes notes from another host; gives those that are news. */
+  /** Applies records from another host; returns those to be passed on. */
   applyNotes(notes: readonly MemberNote[], now: number): MemberNote[] {
     const news: MemberNote[] = [];
     for (const note of notes) {
@@ -114,21 +120,21 @@
   }
 
   /**
-   * Gives peer addresses to try besides the watched hosts: those that the
-   * list shows and nobody spoke of, and those of dead hosts, as two sides of
-   * a partition hold each other for dead. They take turns.
+   * Lists peer addresses to contact besides the monitored hosts: listed ones
+   * without a record, and those of dead hosts, as the sides of a network
+   * partition declare each other dead. The addresses rotate.
    */
   listReconnectPeers(count: number, now: number): string[] {
     const known = new Set(this.list().map((note) => note.peerAddress));
     const unknown = [...this.listed].filter((address) => !known.has(address));
     const dead = this.list().filter((note) => note.state === 'dead');
     const peers = [...unknown, ...dead.map((note) => note.peerAddress)];
-    const first = Math.floor(now / TRY_TURN_MS) * count;
+    const first = Math.floor(now / RECONNECT_TURN_MS) * count;
     const turns = Array.from({length: Math.min(count, peers.length)});
     return turns.flatMap((_, at) => peers[(first + at) % peers.length] ?? []);
   }
 
-  /** Sets the hosts from which heartbeats are expected now. */
+  /** Sets the hosts from which heartbeats are expected from now on. */
   setWatched(hostIds: Iterable<string>, now: number): void {
     const heardAt = new Map<string, number>();
     for (const hostId of hostIds) {
@@ -137,7 +143,7 @@
     this.heardAt = heardAt;
   }
 
-  /** Notes a heartbeat from a host; it counts while the host is watched. */
+  /** Records a heartbeat; ignored unless the host is monitored. */
   recordHeartbeat(hostId: string, incarnation: string, now: number): void {
     const member = this.members.get(hostId);
     if (member?.note.incarnation !== incarnation) return;
@@ -145,9 +151,10 @@
   }
 
   /**
-   * Notes that the address of a host refused a connection: nothing listens
-   * there, which a host that is slow, frozen or cut off cannot bring about.
-   * It is suspect at once, and has less time to contradict.
+   * Records that the address of a host refused a connection. Nothing listens
+   * there, so the process is gone: a slow, frozen or partitioned host doesn't
+   * refuse connections. The host is suspected at once and has less time to
+   * refute it.
    */
   recordConnectionRefused(hostId: string, now: number): MemberNote[] {
     const member = this.members.get(hostId);
@@ -160,9 +167,10 @@
   }
 
   /**
-   * Takes the host list; it lags, so it only adds and marks as leaving.
+   * Applies the host list. It may be stale, so it only adds addresses and marks
+   * hosts as leaving.
    *
-   * @param peers The peer addresses that the list shows, with their states.
+   * @param peers The listed peer addresses with their states.
    */
   applyHostList(
     peers: ReadonlyMap<string, 'leaving' | 'live'>,
@@ -178,7 +186,7 @@
     return news;
   }
 
-  /** Moves on with time; gives the notes that are news. */
+  /** Applies expired timeouts; returns the records to be passed on. */
   applyTimeouts(now: number): MemberNote[] {
     const news: MemberNote[] = [];
     for (const [hostId, member] of [...this.members]) {
@@ -197,7 +205,7 @@
       return note;
     }
     if (!isNewerNote(note, member.note)) return undefined;
-    // A new incarnation is given the whole time to be heard.
+    // A new incarnation gets the full timeout for its first heartbeat.
     if (note.incarnation !== member.note.incarnation) {
       this.heardAt.delete(note.hostId);
     }
@@ -207,7 +215,11 @@
     return note;
   }
 
-  /** A host that lives though its address refuses is not doubted on and on. */
+  /**
+   * Ends the suspicion due to refused connections. If the same incarnation
+   * refuted it, refused connections are ignored for a while, so that a live
+   * host with an unreachable address isn't suspected again and again.
+   */
   private endRefusing(member: Member, note: MemberNote, now: number): void {
     const isSame = note.incarnation === member.note.incarnation;
     const contradicts = member.isRefusing && isSame && note.state !== 'dead';
--- a/packages/decisions/src/order_plan.ts
+++ b/packages/decisions/src/order_plan.ts
@@ -1,41 +1,42 @@
 /**
- * Which orders the endpoints of a service need, so that what is loaded
- * follows what was declared. What most requests wait for goes first, and no
- * more loads are under way than the weight store can feed.
- * docs/design/orders.md.
+ * Plans the orders that bring the models and adapters loaded on endpoints in
+ * line with the declared ones. Services with the highest demand per ready
+ * endpoint come first, and the number of loads at a time is bounded by what the
+ * weight store can deliver. See docs/design/orders.md.
  */
 
-/** What an endpoint has, by its own word. */
+/** The models and adapters that an endpoint reports as loaded. */
 export interface LoadedEndpoint {
   readonly address: string;
   readonly models: readonly string[];
   readonly adapters: readonly string[];
 }
 
-/** What a service's endpoints should have. */
+/** The models and adapters that a service's endpoints should have loaded. */
 export interface DesiredLoads {
   readonly service: string;
   readonly models: readonly string[];
   readonly adapters: readonly string[];
-  /** How many endpoints should have it; 0 is all. */
+  /** How many endpoints should have them loaded; 0 for all. */
   readonly replicas: number;
-  /** Requests that wait for the service. */
+  /** Waiting requests of the service. */
   readonly demand: number;
   readonly endpoints: readonly LoadedEndpoint[];
 }
 
-/** What an order does. */
+/** The action of an order. */
 export type OrderAction =
   'drop_adapter' | 'drop_model' | 'load_adapter' | 'load_model';
 
-/** An order to give. */
+/** An order to send to an endpoint. */
 export interface PlannedOrder {
   readonly address: string;
   readonly action: OrderAction;
+  /** The model or adapter to load or drop. */
   readonly target: string;
 }
 
-/** Plans at most `maxLoads` loads; drops follow once loads are done. */
+/** Plans at most `maxLoads` loads, or the drops if nothing is to be loaded. */
 export function planOrders(
   wanted: readonly DesiredLoads[],
   maxLoads: number,
@@ -49,7 +50,7 @@
   return byNeed.flatMap(planDrops);
 }
 
-/** Demand per endpoint that is ready; a service with none is first. */
+/** Computes demand per ready endpoint; a service without one comes first. */
 function computeNeed(wanted: DesiredLoads): number {
   const ready = wanted.endpoints.filter((e) => isReady(e, wanted)).length;
   return (wanted.demand + 1) / (ready === 0 ? 1e-3 : ready);
@@ -89,7 +90,7 @@
   return orders;
 }
 
-/** Those that have it already go first, so that little is moved. */
+/** Lists the endpoints to use, ready ones first, so that few loads change. */
 function listTargets(wanted: DesiredLoads): LoadedEndpoint[] {
   const sorted = [...wanted.endpoints].sort((a, b) => {
     const ready = Number(isReady(b, wanted)) - Number(isReady(a, wanted));
--- a/packages/decisions/src/pause_request.ts
+++ b/packages/decisions/src/pause_request.ts
@@ -1,25 +1,26 @@
 /**
- * The pause that an overloaded endpoint requests when it rejects a request
- * (`Retry-After`): until when a host sends it nothing. A later answer extends a
- * pause and never shortens it, as answers may arrive out of order.
+ * Pauses that an overloaded endpoint requests when it rejects a request
+ * (`Retry-After`): hosts send it nothing until the pause ends. A later response
+ * may extend a pause but never shortens it, as responses may arrive out of
+ * order.
  */
 
 /** A pause as an endpoint requested it. */
 export type PauseRequest =
   | {readonly kind: 'delay'; readonly ms: number}
-  /** The requested value is not a time. */
+  /** The requested value isn't a time. */
   | {readonly kind: 'unreadable'};
 
 /** Upper bound of a pause, in ms; limits the harm of a wrong value. */
 export const MAX_PAUSE_MS = 600_000;
-/** The pause for a value that is not a time, in ms. */
+/** The pause for a value that isn't a time, in ms. */
 export const UNREADABLE_PAUSE_MS = 1000;
 
 /**
- * Gives the end of a pause, in ms by the host's clock.
+ * Computes the end of a pause, in ms by the host's clock.
  *
- * @param receivedAt When the request for it arrived.
- * @param knownEnd The end of the pause in force; undefined without one.
+ * @param receivedAt When the response that requested it arrived.
+ * @param knownEnd The end of the current pause; undefined without one.
  */
 export function computePauseEnd(
   request: PauseRequest,
@@ -31,18 +32,18 @@
   return Math.max(end, knownEnd ?? end);
 }
 
-/** Spreads the retries of rejected callers after the pause, in ms. */
-const RETURN_SPREAD_MS = 500;
+/** Jitter that spreads the retries of rejected callers after a pause, in ms. */
+const RETRY_JITTER_MS = 500;
 
 /**
- * Gives the retry delay of a caller that was rejected during a pause, in ms.
+ * Computes the retry delay of a caller that was rejected during a pause, in ms.
  *
- * @param part A random part, from 0 to 1.
+ * @param part A random number from 0 to 1.
  */
 export function computeRetryDelayMs(
   end: number,
   now: number,
   part: number,
 ): number {
-  return Math.max(0, end - now) + RETURN_SPREAD_MS * part;
+  return Math.max(0, end - now) + RETRY_JITTER_MS * part;
 }
--- a/packages/decisions/src/permit_bucket.ts
+++ b/packages/decisions/src/permit_bucket.ts
@@ -1,46 +1,49 @@
 /**
- * Hands out permits for sends to one endpoint at the rate that it named. One host
- * holds the bucket for all hosts, so that the sum is kept however many they are:
- * at 350 hosts, a bucket of one permit each would let 350 requests through at once
- * where 23 may come in four seconds.
+ * A token bucket that grants permits to send to one endpoint at the rate limit
+ * that it advertised. One host holds the bucket for all hosts, so the total
+ * stays within the limit for any number of hosts: with a bucket of one permit
+ * on each of 350 hosts, 350 requests could be sent at once where 23 are allowed
+ * in four seconds.
  *
- * Permits gather only up to a small burst, so that a pause, a frozen host or a
- * quiet hour leaves nothing to be made up for. What comes in any span of time is
- * at most the rate times that span, the burst, and what begun answers may borrow.
+ * Permits accumulate only up to a small burst, so a pause, a frozen host or a
+ * time without requests isn't made up for later. The sends in any time span are
+ * at most the rate times that span, plus the burst, plus what started answers
+ * may borrow.
  */
 
-/** What a send is for, the most urgent first. */
+/** The priorities of sends, the most urgent first. */
 export const SEND_PRIORITIES = ['begun', 'usual', 'aside'] as const;
 /**
- * `begun`: goes on with an answer of which a caller has a part. `usual`: a caller's
- * request. `aside`: what callers can do without for a while, such as a copy of a
- * run's memory, or the question whether an endpoint still works on a request.
+ * What a send is for. `begun`: continues an answer of which the caller has
+ * received a part. `usual`: a caller's request. `aside`: work that can wait,
+ * such as copying a run's memory, or probing whether an endpoint still works on
+ * a request.
  */
 export type SendPriority = (typeof SEND_PRIORITIES)[number];
 
-/** A number of sends of each use. */
+/** A number of sends for each priority. */
 export type SendCounts = Readonly<Record<SendPriority, number>>;
 
-/** No send of any use. */
+/** No sends of any priority. */
 export const NO_SENDS: SendCounts = {begun: 0, usual: 0, aside: 0};
 
-/** What a bucket gave. */
+/** The permits that a bucket granted. */
 export interface PermitGrant {
   readonly granted: SendCounts;
-  /** Until the next permit for a usual send, in ms. */
+  /** The time until the next permit for a usual send, in ms. */
   readonly waitMs: number;
 }
 
-/** Permits that gather at any rate. */
+/** Permits that may accumulate at any rate. */
 const BURST = 2;
-/** Permits that gather besides, as the time in which they would be used, in s. */
+/** Further permits that may accumulate, in seconds at the current rate. */
 const BURST_SECONDS = 0.2;
 /**
- * Permits that begun answers borrow from what comes: a caller that has a part of
- * its answer loses more by a wait than one that has none.
+ * Future permits that started answers may borrow: a caller that has received a
+ * part of its answer suffers more from a wait than one that has received none.
  */
 const MOST_BORROWED = 2;
-/** What has to be left for each use once its permit is taken. */
+/** The permits that must be left after a grant of each priority. */
 const LEAST_LEFT: Readonly<Record<SendPriority, number>> = {
   begun: -MOST_BORROWED,
   usual: 0,
@@ -48,14 +51,19 @@
 };
 const MILLI = 1000;
 
-/** One endpoint's permits. */
+/** The bucket of permits of one endpoint. */
 export class PermitBucket {
   private tokens = 0;
 
-  /** It starts empty: whoever held it before may have given all. */
+  /**
+   * Creates an empty bucket: the host that held it before may have granted all
+   * permits.
+   *
+   * @param filledAt The current time, in ms.
+   */
   constructor(private filledAt: number) {}
 
-  /** Gives permits, as far as there are any. */
+  /** Takes up to the wanted number of permits. */
   take(wanted: SendCounts, perSecond: number, now: number): PermitGrant {
     this.update(perSecond, now);
     const granted = {...NO_SENDS};
--- a/packages/decisions/src/permit_issuer.ts
+++ b/packages/decisions/src/permit_issuer.ts
@@ -1,48 +1,55 @@
 /**
- * Which host hands out the permits for an endpoint that named a limit, and how
- * much of the limit it may give. All hosts find the same one from the names of
- * those that are alive, so nothing has to be agreed; each limited endpoint has
- * another, and a high limit several, so the work is spread.
+ * Chooses the host that grants the permits of a rate-limited endpoint (the
+ * issuer), and the share of the limit that it may grant. All hosts derive the
+ * same issuer from the names of the live hosts by rendezvous hashing, without
+ * coordination. Each limited endpoint has a different issuer, and a high limit
+ * has several, so the load is spread.
  *
- * Hosts may differ for a moment on who is alive, and two may hand out permits then.
- * The bound leaves room for 1.8 s of that in any 4 s, as whoever begins has none
- * gathered. What would last longer is kept out: a host that has just started may
- * not know the others yet, and gives none; one that hears less than half of the
- * hosts that may live gives a small part, so that the two sides of a cut do not
- * give the limit twice.
+ * Hosts may briefly disagree on who is alive, so that two of them grant
+ * permits. The bound tolerates 1.8 s of that in any 4 s, as a new issuer
+ * starts with an empty bucket. Longer overlaps are prevented: a host that has
+ * just started may not know the others yet and grants nothing, and a host that
+ * hears less than half of the possibly live hosts grants only a small share,
+ * so that the two sides of a network partition don't grant the limit twice.
  */
 import {hashText} from './hash.js';
 
 /**
- * From its start on a host gives no permits for so long, in ms. After a loss of all
- * hosts at once they find each other within a second; each alone would give all.
+ * How long a host grants no permits after its start, in ms. If all hosts
+ * restart at once, they find each other within a second; until then each would
+ * grant the whole limit.
  */
 const START_MS = 2000;
 /**
- * What a side of a cut that hears less than half may give, as a part of its share
- * by hosts. With it both sides together give a quarter over the limit at most.
+ * The factor on the share of a host that hears less than half of the hosts.
+ * With it, both sides of a partition together exceed the limit by a quarter at
+ * most.
  */
 const MINOR_SIDE_PART = 0.5;
 
-/** The hosts as one host knows them. */
+/** The hosts that one host knows. */
 export interface IssuerHosts {
-  /** Those that are alive and stay, this one too if it does. */
+  /** The live hosts that aren't leaving; includes this one if it isn't. */
   readonly names: readonly string[];
-  /** All that may be alive, this one too: those that fell silent of late. */
+  /**
+   * The number of hosts that may be alive: this one and all others, including
+   * those that fell silent recently.
+   */
   readonly possiblyAlive: number;
 }
 
 /**
- * What one host hands out for an endpoint, in requests a second; more is split
- * over several hosts. A question costs some 60 µs and 140 bytes, so that a limit of
- * 1,000 would take a tenth of a core and 420 KB a second of one host.
+ * The rate of an endpoint that one issuer handles, in requests per second; a
+ * higher limit is split over several issuers. A permit request costs about
+ * 60 µs and 140 bytes, so a limit of 1,000 would take a tenth of a core and
+ * 420 KB per second of one host.
  */
-const MOST_PER_ISSUER = 50;
+const MAX_PER_ISSUER = 50;
 
-/** Knows the issuers of each endpoint. */
+/** Finds the issuers of each endpoint. */
 export class PermitIssuers {
   private hosts: IssuerHosts = {names: [], possiblyAlive: 1};
-  /** The hosts in the order of each endpoint, by instance id. */
+  /** The hosts in each endpoint's order of preference, by instance id. */
   private orders = new Map<string, readonly string[]>();
 
   constructor(
@@ -50,16 +57,16 @@
     private readonly startedAt: number,
   ) {}
 
-  /** Takes which hosts there are now. */
+  /** Sets the current hosts. */
   update(hosts: IssuerHosts): void {
     this.hosts = hosts;
     this.orders = new Map();
   }
 
   /**
-   * Finds an issuer for the start of an endpoint.
+   * Finds an issuer of an endpoint instance.
    *
-   * @param turn Which of them, where the limit is split.
+   * @param turn Selects one of several issuers; it may exceed their number.
    */
   findIssuer(
     instanceId: string,
@@ -70,7 +77,7 @@
     return this.getOrder(instanceId)[turn % count];
   }
 
-  /** Gives the part of the limit that this host may give; 0 for none. */
+  /** Computes the share of the limit that this host may grant; 0 for none. */
   computeShare(instanceId: string, perSecond: number, now: number): number {
     if (now - this.startedAt < START_MS) return 0;
     const count = this.countIssuers(perSecond);
@@ -82,13 +89,13 @@
     return part / count;
   }
 
-  /** Counts the hosts over which a limit is split. */
+  /** Counts the issuers over which a limit is split. */
   countIssuers(perSecond: number): number {
-    const wanted = Math.ceil(perSecond / MOST_PER_ISSUER);
+    const wanted = Math.ceil(perSecond / MAX_PER_ISSUER);
     return Math.max(1, Math.min(wanted, this.hosts.names.length));
   }
 
-  /** Forgets an endpoint. */
+  /** Drops the cached order of an endpoint. */
   drop(instanceId: string): void {
     this.orders.delete(instanceId);
   }
@@ -103,7 +110,10 @@
   }
 }
 
-/** Sorts by the hash over both names, so that few move when a host goes. */
+/**
+ * Sorts hosts by rendezvous hash for an endpoint instance. When a host goes,
+ * only the endpoints that it issued permits for move.
+ */
 export function sortIssuers(
   instanceId: string,
   names: readonly string[],
--- a/packages/decisions/src/placement.ts
+++ b/packages/decisions/src/placement.ts
@@ -1,15 +1,16 @@
-/** Which failure domains the placement rules leave to a request. */
+/** Evaluates placement rules: the failure domains that a request may use. */
 import type {PlacementRuleSpec} from '@irisdock/resources';
 
-/** What the rules come to for one service and team. */
+/** The combined rules of one service and team. */
 export interface PlacementConstraints {
-  /** Domains that are allowed; absent is all. */
+  /** The only allowed domains; undefined allows all. */
   readonly required: ReadonlySet<string> | undefined;
+  /** Domains that are not allowed. */
   readonly avoided: ReadonlySet<string>;
   readonly preferred: ReadonlySet<string>;
 }
 
-/** Combines the rules that hold for a service and a team. */
+/** Combines the rules that apply to a service and a team. */
 export function computePlacementConstraints(
   rules: Iterable<PlacementRuleSpec>,
   service: string,
--- a/packages/decisions/src/plain_endpoint_choice.ts
+++ b/packages/decisions/src/plain_endpoint_choice.ts
@@ -1,6 +1,6 @@
 /**
- * To which endpoint of a plain service a call goes: the one with the shortest
- * expected time, from its load and the time that its answers took of late.
+ * Chooses the endpoint for a call to a plain service: the one with the lowest
+ * expected latency, by its load and its recent response times.
  */
 
 /** An endpoint of a plain service as one host sees it. */
@@ -8,19 +8,24 @@
   readonly instanceId: string;
   /** Calls that run or wait there. */
   readonly calls: number;
+  /** Calls that it can run at a time. */
   readonly slots: number;
-  /** The usual time of an answer of late, in ms. */
+  /** The smoothed recent response time, in ms. */
   readonly answerMs: number;
-  /** Recent failures, fading; 0 for a sound one. */
+  /** Recent failures, decaying over time; 0 for a healthy endpoint. */
   readonly failureScore: number;
 }
 
-/** A failure of a moment ago costs as much as this many answers. */
+/** The weight of a recent failure, in response times. */
 const FAILURE_COST = 20;
-/** Spreads choices that several hosts make at the same moment. */
-const SPREAD = 0.3;
+/** Relative jitter, so that hosts choosing at the same time spread out. */
+const JITTER = 0.3;
 
-/** Chooses an endpoint; undefined when all are excluded. */
+/**
+ * Chooses an endpoint; undefined when all are excluded.
+ *
+ * @param getSpread Returns a random number from 0 to 1.
+ */
 export function choosePlainEndpoint<V extends PlainEndpointView>(
   endpoints: Iterable<V>,
   excluded: ReadonlySet<string>,
@@ -30,7 +35,7 @@
   let bestCost = Infinity;
   for (const endpoint of endpoints) {
     if (excluded.has(endpoint.instanceId)) continue;
-    const cost = computePlainCost(endpoint) * (1 + SPREAD * getSpread());
+    const cost = computePlainCost(endpoint) * (1 + JITTER * getSpread());
     if (cost >= bestCost) continue;
     best = endpoint;
     bestCost = cost;
--- a/packages/decisions/src/poll_stagger.ts
+++ b/packages/decisions/src/poll_stagger.ts
@@ -1,61 +1,61 @@
 /**
- * How long a reader lets the store wait for a change: so that, of all readers
- * together, one is answered in each turn and vouches for the copies of all hosts.
- * After a change all are answered at once, and their order parts them again.
- * Readers that change places are answered at any moments at first, some close
- * together; each moves its next answer towards a turn behind the one before it.
+ * Staggers the long polls of the hosts that read the store, so that one of them
+ * is answered in each turn and confirms that the copies of all hosts are
+ * current. A change answers all polls at once; the ranks then spread them
+ * again. When ranks change, the answers are unevenly spaced at first, and each
+ * reader shifts its next one towards one turn after that of another reader.
  */
 
-/** A place among the hosts that read for all. */
+/** A host's rank among the hosts that read the store for all. */
 export interface ReaderRank {
-  /** From 0; who comes first reads soonest after a change. */
+  /** From 0; lower ranks read sooner after a change. */
   readonly rank: number;
-  /** How many read. */
+  /** The number of readers. */
   readonly count: number;
 }
 
-/** The least time that the store may wait for a change, in ms. */
-const LEAST_WAIT_MS = 50;
-/** The part of what an answer is off its turn that the next one makes good. */
+/** The shortest wait of a long poll, in ms. */
+const MIN_WAIT_MS = 50;
+/** The fraction of its offset from its turn that the next poll corrects. */
 const SHIFT_PART = 0.5;
 
-/** The turns of one reader. */
+/** The poll timing of one reader. */
 export class PollStagger {
-  /** Whether the next wait is the first after a change, a failure or a new place. */
+  /** Whether the next poll is the first after a change, failure or new rank. */
   private isFirst = true;
   private pauseMs = 0;
-  /** When another reader last had an answer of the store. */
-  private toldAt = -Infinity;
+  /** When another reader last got an answer from the store. */
+  private peerAnsweredAt = -Infinity;
 
-  /** @param turnMs The time between two answers to readers, in ms. */
+  /** @param turnMs The time between the answers to two readers, in ms. */
   constructor(private readonly turnMs: number) {}
 
-  /** Takes it that another reader had an answer. */
+  /** Records that another reader got an answer from the store. */
   recordPeerAnswer(at: number): void {
-    this.toldAt = Math.max(this.toldAt, at);
+    this.peerAnsweredAt = Math.max(this.peerAnsweredAt, at);
   }
 
   /**
-   * Takes it that all readers begin anew.
+   * Starts a new cycle of all readers.
    *
-   * @param pauseMs How long this one pauses before.
+   * @param pauseMs How long this reader pauses first.
    */
   startCycle(pauseMs: number): void {
     this.isFirst = true;
     this.pauseMs = pauseMs;
   }
 
-  /** Gives how long the store may wait, in whole ms, as it takes no parts. */
-  takePollWaitMs({rank: place, count}: ReaderRank, now: number): number {
+  /** Returns the wait of the next poll, in whole ms as the store requires. */
+  takePollWaitMs({rank, count}: ReaderRank, now: number): number {
     const {isFirst, turnMs} = this;
     this.isFirst = false;
-    const turns = isFirst ? place + 1 : count;
+    const turns = isFirst ? rank + 1 : count;
     const shiftMs = isFirst ? -this.pauseMs : this.getShiftMs(now);
-    return Math.max(LEAST_WAIT_MS, Math.round(turnMs * turns + shiftMs));
+    return Math.max(MIN_WAIT_MS, Math.round(turnMs * turns + shiftMs));
   }
 
   private getShiftMs(now: number): number {
-    const behindMs = now - this.toldAt;
+    const behindMs = now - this.peerAnsweredAt;
     return Math.max(-this.turnMs, this.turnMs - behindMs) * SHIFT_PART;
   }
 }
--- a/packages/decisions/src/prefix_index.ts
+++ b/packages/decisions/src/prefix_index.ts
@@ -1,22 +1,23 @@
 /**
- * Which prompt prefixes an endpoint probably has cached. Cache events come
- * late and with gaps, so the index is a hint only: it may be wrong in both
- * directions, and a wrong hint costs a prefill, never an answer.
+ * Tracks which prompt prefixes an endpoint probably has cached. Cache events
+ * arrive late and some are lost, so the index is only a hint: it may contain
+ * blocks that were evicted and lack cached ones. A wrong hint costs a prefill
+ * but never an answer.
  */
 
-/** A block of a prompt that an endpoint stored or dropped. */
+/** A block of a prompt that an endpoint cached or evicted. */
 export interface BlockEvent {
   readonly block: string;
   readonly stored: boolean;
 }
 
-/** Prefix blocks by endpoint, bounded. */
+/** Cached prefix blocks of each endpoint, with an LRU bound per endpoint. */
 export class PrefixIndex {
   private readonly blocks = new Map<string, Set<string>>();
 
   constructor(private readonly maxBlocksPerEndpoint: number) {}
 
-  /** Takes what an endpoint published. */
+  /** Applies cache events that an endpoint published. */
   applyEvents(endpoint: string, events: readonly BlockEvent[]): void {
     for (const event of events) {
       if (event.stored) this.add(endpoint, event.block);
@@ -24,17 +25,17 @@
     }
   }
 
-  /** Notes that a prompt with these blocks was sent to an endpoint. */
+  /** Records that a prompt with these blocks was sent to an endpoint. */
   addBlocks(endpoint: string, blocks: readonly string[]): void {
     for (const block of blocks) this.add(endpoint, block);
   }
 
-  /** Forgets an endpoint: it is gone, restarted, or events were missed. */
+  /** Drops an endpoint that is gone, restarted, or has lost events. */
   dropEndpoint(endpoint: string): void {
     this.blocks.delete(endpoint);
   }
 
-  /** Counts the leading blocks that the endpoint probably has. */
+  /** Counts the leading blocks that the endpoint probably has cached. */
   countHits(endpoint: string, blocks: readonly string[]): number {
     const held = this.blocks.get(endpoint);
     if (held === undefined) return 0;
@@ -49,7 +50,7 @@
   private add(endpoint: string, block: string): void {
     const held = this.blocks.get(endpoint) ?? new Set<string>();
     this.blocks.set(endpoint, held);
-    // Added again, it counts as the most recently used.
+    // Reinserted last, as the most recently used.
     held.delete(block);
     held.add(block);
     if (held.size <= this.maxBlocksPerEndpoint) return;
--- a/packages/decisions/src/probe_schedule.ts
+++ b/packages/decisions/src/probe_schedule.ts
@@ -1,78 +1,79 @@
 /**
- * Which hosts are asked next whether they answer, and what follows from
- * silence. Each beat one or a few are asked, all in turn in a random order, so
- * that a host is asked by some other one in each beat or so, however many hosts
- * there are.
+ * Schedules the probes of a SWIM-like failure detection. In each round a host
+ * probes one or a few others, all of them in turn in a random order, so that
+ * each host is probed by some other about once per round, whatever their
+ * number.
  *
- * A host that did not answer by the next beat is asked again, this time
- * through other hosts too, as a datagram or a single way may be lost; it is
- * suspected when no answer came by the beat after that.
+ * A host that didn't answer by the next round is probed again, also indirectly
+ * through other hosts, as a datagram or a network path may have failed. It is
+ * reported as unresponsive if it still hasn't answered one round later.
  */
 import {getShuffled, type Random} from '@irisdock/kernel';
 
-/** What is to be done in a beat. */
+/** The actions of one round. */
 export interface ProbeRound {
-  /** Hosts that are asked. */
+  /** Hosts to probe directly. */
   readonly probed: readonly string[];
-  /** Hosts that are asked through others as well. */
+  /** Those of them to probe through other hosts as well. */
   readonly indirect: readonly string[];
-  /** Hosts that did not answer. */
+  /** Hosts that didn't answer in time. */
   readonly unresponsive: readonly string[];
 }
 
-/** Beats without an answer after which a host is asked through others. */
-const RELAY_AFTER = 1;
-/** Beats without an answer after which a host is suspected. */
+/** Rounds without an answer until a host is also probed indirectly. */
+const INDIRECT_AFTER = 1;
+/** Rounds without an answer until a host is unresponsive. */
 const SILENT_AFTER = 2;
 
-/** The schedule. */
+/** The probe schedule of one host. */
 export class ProbeSchedule {
   private turn: string[] = [];
-  /** Beats that hosts have let pass since they were first asked. */
+  /** Rounds since the first probe, for each host that hasn't answered. */
   private readonly waiting = new Map<string, number>();
 
   constructor(private readonly random: Random) {}
 
   /**
-   * Plans a beat.
+   * Plans a round.
    *
-   * @param alive The other hosts that are believed to be alive.
-   * @param isTrusted Whether this host would have got answers: when it was held
-   *     up itself or hears nobody, silence says nothing of others.
-   * @param count How many hosts are asked for the first time.
+   * @param alive The other hosts that are considered alive.
+   * @param isTrusted Whether this host would have received answers. If it was
+   *     stalled itself or hears nobody, a missing answer says nothing about the
+   *     other host.
+   * @param count How many hosts to probe for the first time.
    */
   planRound(
     alive: ReadonlyMap<string, unknown>,
     isTrusted: boolean,
     count: number,
   ): ProbeRound {
-    // Whoever was asked before is asked anew, from the start.
+    // Pending probes are discarded; their hosts are probed anew in turn.
     if (!isTrusted) this.waiting.clear();
     const probed: string[] = [];
-    const relayed: string[] = [];
-    const silent: string[] = [];
-    for (const [name, beats] of this.waiting) {
-      const passed = beats + 1;
+    const indirect: string[] = [];
+    const unresponsive: string[] = [];
+    for (const [name, rounds] of this.waiting) {
+      const passed = rounds + 1;
       this.waiting.set(name, passed);
       if (!alive.has(name) || passed >= SILENT_AFTER) this.waiting.delete(name);
       if (!alive.has(name)) continue;
       if (passed >= SILENT_AFTER) {
-        silent.push(name);
+        unresponsive.push(name);
         continue;
       }
       probed.push(name);
-      if (passed >= RELAY_AFTER) relayed.push(name);
+      if (passed >= INDIRECT_AFTER) indirect.push(name);
     }
-    for (let asked = 0; asked < count; asked++) {
+    for (let added = 0; added < count; added++) {
       const next = this.takeNext(alive);
       if (next === undefined) break;
       this.waiting.set(next, 0);
       probed.push(next);
     }
-    return {probed, indirect: relayed, unresponsive: silent};
+    return {probed, indirect, unresponsive};
   }
 
-  /** Takes it that a host answered, or was heard otherwise. */
+  /** Records that a host answered or sent any other message. */
   markHeard(name: string): void {
     this.waiting.delete(name);
   }
--- a/packages/decisions/src/reader_reports.ts
+++ b/packages/decisions/src/reader_reports.ts
@@ -1,20 +1,21 @@
 /**
- * What the hosts that read the store report to all others: how old what they
- * know may be, and for how long vanished entries are kept. Reports are passed
- * on from host to host, each once in each state, and grow old on the way.
+ * Reports that the hosts which read the store gossip to all others: how old
+ * their copy of the configuration may be, and how long removed entries stay in
+ * use. Ages and delays are adjusted for the time that a report was held before
+ * it is passed on.
  */
 
 /** The report of one host that reads the store. */
 export interface ReaderReport {
   readonly name: string;
   readonly incarnation: number;
-  /** Rises with each report of one life. */
+  /** Grows with each report of one incarnation. */
   readonly sequence: number;
-  /** The highest revision of a change of the configuration that it knows. */
+  /** The highest revision of a configuration change that it knows. */
   readonly configurationRevision: number;
-  /** How long ago the configuration was certainly the newest, in ms. */
+  /** How long ago its configuration was confirmed to be current, in ms. */
   readonly configurationAgeMs: number;
-  /** For how long vanished entries stay in use from now on, in ms. */
+  /** How much longer entries removed from the store stay in use, in ms. */
   readonly departureDelayMs: number;
 }
 
@@ -24,22 +25,22 @@
 }
 
 /**
- * How long a report counts, in ms. Hosts report each 300 ms, and a report
- * reaches 350 hosts within 1.5 s by what they send each other anyway.
+ * How long a report is valid, in ms. Hosts report every 300 ms, and a report
+ * reaches 350 hosts within 1.5 s on messages that they exchange anyway.
  */
 const USE_MS = 2500;
 
 /**
- * For how long a report that counts no more is remembered, in ms: others may
- * still pass it on, and it must not be taken for a new one.
+ * How long an expired report is remembered, in ms: other hosts may still pass
+ * it on, and it must not be mistaken for a new one.
  */
 const REMEMBER_MS = 60_000;
 
-/** The newest reports. */
+/** The newest report of each host. */
 export class ReaderReports {
   private readonly kept = new Map<string, KeptReport>();
 
-  /** Takes a report unless a newer one of the same host is known. */
+  /** Accepts a report unless the known one of the same host is as new. */
   accept(report: ReaderReport, now: number): void {
     const known = this.kept.get(report.name)?.report;
     const order =
@@ -50,7 +51,7 @@
     if (order > 0) this.kept.set(report.name, {report, receivedAt: now});
   }
 
-  /** Lists the reports as they are passed on now. */
+  /** Lists the valid reports, with times adjusted to now, to be passed on. */
   list(now: number): ReaderReport[] {
     const reports: ReaderReport[] = [];
     for (const [name, {report, receivedAt}] of this.kept) {
@@ -67,11 +68,11 @@
   }
 
   /**
-   * Gives how long ago a copy of the configuration was certainly the newest,
-   * in ms; Infinity when nobody says.
+   * Returns how long ago a copy of the configuration was confirmed to be
+   * current, in ms; Infinity without a report that confirms it.
    *
-   * @param revision The highest revision of a change that the copy holds. Who
-   *     knows more says nothing of such a copy.
+   * @param revision The highest revision of a change that the copy holds. A
+   *     reader that knows a later change doesn't confirm such a copy.
    */
   getConfigurationAgeMs(revision: number, now: number): number {
     let age = Infinity;
@@ -83,8 +84,9 @@
   }
 
   /**
-   * Gives for how long vanished entries stay in use, in ms, by the word of
-   * whoever reached the store throughout; undefined when nobody says.
+   * Returns how much longer removed entries stay in use, in ms: the shortest
+   * delay of all reports, as reported by a host that could reach the store
+   * throughout; undefined without a report.
    */
   getDepartureDelayMs(now: number): number | undefined {
     let delay: number | undefined;
--- a/packages/decisions/src/rendezvous_hash.ts
+++ b/packages/decisions/src/rendezvous_hash.ts
@@ -1,17 +1,17 @@
 /**
- * The order in which engines are preferred for a prompt: by a hash over both.
- * Every host finds the same order from the names alone, so that a caller that
- * comes again by another host reaches the engine that still keeps its prompt.
- * An engine that comes or goes moves only the prompts that it is first for.
+ * Rendezvous hashing: sorts engines by preference for a prompt, by a hash over
+ * both. All hosts derive the same order from the names alone, so a caller that
+ * returns through another host reaches the engine that still has its prompt
+ * cached. When an engine comes or goes, only the prompts move that prefer it.
  */
 import {hashText} from './hash.js';
 
-/** What is ordered. */
+/** An engine to sort. */
 export interface NamedEngine {
   readonly instanceId: string;
 }
 
-/** Lists the engines, the most preferred first. */
+/** Returns the engines, the most preferred first. */
 export function sortByRendezvousHash<E extends NamedEngine>(
   engines: readonly E[],
   key: string,
--- a/packages/decisions/src/request_id.ts
+++ b/packages/decisions/src/request_id.ts
@@ -1,12 +1,12 @@
 /**
- * Request ids that the system mints. An id is bound to one host and that
- * host's incarnation, which alone may start the request; this is how a
- * request that must not be repeated runs at most once without a write to the
- * platform: docs/design/at_most_once.md.
+ * Request ids that the system mints. An id is bound to one host and one
+ * incarnation of it, and only that may start the request. Thus a request that
+ * must not be repeated runs at most once, without a write to the platform. See
+ * docs/design/at_most_once.md.
  */
 import type {Signer} from './signature.js';
 
-/** What a minted id says. */
+/** The contents of a minted id. */
 export interface MintedId {
   readonly hostId: string;
   readonly incarnation: string;
@@ -15,7 +15,7 @@
   readonly serial: number;
 }
 
-/** A request id: minted, chosen by the caller, or forged. */
+/** A parsed request id: minted, chosen by the caller, or forged. */
 export type ParsedRequestId =
   | {readonly origin: 'caller'; readonly id: string}
   | {readonly origin: 'forged'; readonly id: string}
@@ -25,7 +25,7 @@
 const SEPARATOR = '~';
 const RADIX = 36;
 
-/** What a request id may look like in a header. */
+/** The syntax of request ids in a header. */
 export const REQUEST_ID_PATTERN = /^[A-Za-z0-9._:~[\]-]{1,200}$/;
 
 /** Formats and signs an id. */
@@ -40,7 +40,7 @@
   return body + SEPARATOR + signer.sign(body);
 }
 
-/** Reads an id and verifies its signature. */
+/** Parses an id and verifies its signature. */
 export function parseRequestId(id: string, signer: Signer): ParsedRequestId {
   const parts = id.split(SEPARATOR);
   if (parts[0] !== PREFIX) return {origin: 'caller', id};
--- a/packages/decisions/src/request_owner.ts
+++ b/packages/decisions/src/request_owner.ts
@@ -1,33 +1,33 @@
 /**
- * Who may start a request. The rule: a request that must not be repeated is
- * started only by the host and incarnation that its id is bound to, and by
- * that only once. docs/design/at_most_once.md lists the ways weighed.
+ * Decides which host may start a request. A request that must not be repeated
+ * is started only by the host and incarnation that its id is bound to, and only
+ * once. docs/design/at_most_once.md compares the alternatives.
  */
 import type {ParsedRequestId} from './request_id.js';
 
-/** What the deciding host knows. */
+/** What the deciding host knows of a request. */
 export interface OwnerState {
   readonly id: ParsedRequestId;
   readonly repeatable: boolean;
-  /** Whether the caller goes on with an answer it has begun to get. */
+  /** Whether the caller resumes an answer that it has received a part of. */
   readonly resuming: boolean;
-  /** Whether the caller showed valid resume data. */
+  /** Whether the caller sent valid resume data. */
   readonly hasResumeData: boolean;
   readonly self: {readonly hostId: string; readonly incarnation: string};
-  /** What this host did with the id; absent when it never saw it. */
+  /** The request's state in this host's ledger; undefined without an entry. */
   readonly ledger: 'ended' | 'running' | undefined;
-  /** The incarnation under which the owner is known to be live, if any. */
+  /** The incarnation of the id's owner if it is known to be live. */
   readonly liveOwnerIncarnation: string | undefined;
   readonly nowSeconds: number;
-  /** How long after minting an id may start, in seconds. */
+  /** How long after minting its id a request may be started, in seconds. */
   readonly startWithinSeconds: number;
 }
 
 /** What to do with the request. */
 export type OwnerDecision =
-  /** Attach to or go on with what runs here. */
+  /** Attach to the run in this host's ledger. */
   | 'join'
-  /** Take over from another host with the caller's resume data. */
+  /** Take over from another host by the caller's resume data. */
   | 'take_over'
   | 'start'
   /** Send the caller to the owner. */
@@ -60,7 +60,7 @@
 function decideOwn(state: OwnerState): OwnerDecision {
   const {id} = state;
   if (id.origin !== 'minted' || state.repeatable) return 'start';
-  // Its ledger entry may be forgotten by now, so it may have run.
+  // Its ledger entry may have been dropped already, so it may have run.
   const age = state.nowSeconds - id.minted.mintedAt;
   if (age > state.startWithinSeconds) return 'refuse_expired';
   return state.resuming ? 'refuse_unknown' : 'start';
--- a/packages/decisions/src/resume_data.ts
+++ b/packages/decisions/src/resume_data.ts
@@ -1,6 +1,6 @@
 /**
- * Resume data: what a caller carries so that any host can take its stream
- * over. It names the engine and the generation, and is signed.
+ * Resume data: a signed token that a caller sends back so that any host can
+ * take over its stream. It names the engine and the generation.
  */
 import {err, ok, type Result} from 'neverthrow';
 import * as z from 'zod';
@@ -15,13 +15,13 @@
   g: z.number().int().min(1),
   /** The endpoint that runs the generation, as ip:port. */
   e: z.string(),
-  /** A digest of the request's model, prompt and bounds. */
+  /** A digest of the request's model, prompt and limits. */
   d: z.string(),
-  /** The name of the record that its tokens come from. */
+  /** The name of the record from which the caller received tokens. */
   n: z.string(),
 });
 
-/** What resume data says. */
+/** The contents of resume data. */
 export interface ResumeData {
   readonly request: string;
   readonly generation: number;
@@ -38,7 +38,7 @@
   return `${body}.${signer.sign(body)}`;
 }
 
-/** Reads resume data and verifies its signature. */
+/** Parses resume data and verifies its signature. */
 export function parseResumeData(
   text: string,
   signer: Signer,
--- a/packages/decisions/src/retry_budget.ts
+++ b/packages/decisions/src/retry_budget.ts
@@ -1,36 +1,36 @@
 /**
- * A budget that keeps retries to a part of the first tries, so that failures
- * do not multiply load. Each first try earns a part of a retry; a floor lets
- * a quiet host retry too.
+ * A retry budget that limits retries to a fraction of the requests, so that
+ * failures don't multiply the load. Each first attempt earns a fraction of a
+ * retry; a minimum rate lets a host with few requests retry too.
  */
 
-/** How much is earned, kept and given. */
+/** The parameters of a retry budget. */
 export interface RetryBudgetOptions {
-  /** Retries earned by one first try. */
+  /** Retries earned by each first attempt. */
   readonly retriesPerRequest: number;
-  /** The most that is kept. */
+  /** The most retries that accumulate. */
   readonly maxRetries: number;
-  /** Retries a second that are given in any case. */
+  /** Retries per second that are earned without requests. */
   readonly minRetriesPerSecond: number;
 }
 
-/** The budget unless settings say otherwise. */
+/** The default parameters. */
 export const DEFAULT_RETRY_BUDGET: RetryBudgetOptions = {
   retriesPerRequest: 0.2,
   maxRetries: 100,
   minRetriesPerSecond: 2,
 };
 
-/** A budget of retries. */
+/** A retry budget; it starts at a tenth of its maximum. */
 export class RetryBudget {
-  private kept: number;
+  private available: number;
   private filledAt: number | undefined;
 
   constructor(private readonly options: RetryBudgetOptions) {
-    this.kept = options.maxRetries / 10;
+    this.available = options.maxRetries / 10;
   }
 
-  /** Counts a first try. */
+  /** Counts the first attempt of a request. */
   addFirstAttempt(): void {
     this.keep(this.options.retriesPerRequest);
   }
@@ -38,8 +38,8 @@
   /** Takes one retry; false when none is left. */
   takeRetry(nowMs: number): boolean {
     this.addElapsed(nowMs);
-    if (this.kept < 1) return false;
-    this.kept--;
+    if (this.available < 1) return false;
+    this.available--;
     return true;
   }
 
@@ -50,6 +50,6 @@
   }
 
   private keep(more: number): void {
-    this.kept = Math.min(this.options.maxRetries, this.kept + more);
+    this.available = Math.min(this.options.maxRetries, this.available + more);
   }
 }
--- a/packages/decisions/src/rollout_plan.ts
+++ b/packages/decisions/src/rollout_plan.ts
@@ -1,19 +1,21 @@
 /**
- * How a service moves to endpoints of another version. A small part of its
- * requests goes to few of the new endpoints (`trial`) for as long as the time
- * allows; then all go there at once (`moving`), and when nothing runs on the
- * old ones any more the roll-out is `completed`. A version found bad is
- * `rolled-back` at any time before. docs/design/rollouts.md weighs other ways.
+ * Plans the phases of a rollout, which moves a service to endpoints of another
+ * version. A small share of the requests goes to a few new endpoints (`trial`)
+ * for as long as time allows; then all requests go to the new ones (`moving`).
+ * The rollout is `completed` once nothing runs on the old endpoints, and
+ * `rolled-back` if the version is found bad before. docs/design/rollouts.md
+ * compares the alternatives.
  *
- * Requests that a bad version gets are bounded as a part of all requests from
- * the order to the end of its time. So the later the change-over, the more is
- * known and the fewer a bad version can still get; it comes as late as the time
- * left for what runs on the old endpoints allows, and never so early that what
- * is left of the bound would not hold all requests until the end.
+ * The exposure, the requests that a bad version may get, is bounded as a share
+ * of all requests from the order to its deadline. The later the switch, the
+ * more evidence there is and the fewer requests a bad version can still get. So
+ * the switch comes as late as the time that the old endpoints need to finish
+ * allows, and never so early that sending all further requests to the new
+ * version could exceed the bound.
  */
 import type {VersionVerdict} from './rollout_verdict.js';
 
-/** The phases; each host knows one of each order. */
+/** The phases of a rollout; each host tracks one per order. */
 export const ROLLOUT_PHASES = [
   'announced',
   'trial',
@@ -21,49 +23,49 @@
   'rolled-back',
   'completed',
 ] as const;
-/** A phase. `announced`: no host has taken charge of it yet. */
+/** A phase. `announced`: no host coordinates the rollout yet. */
 export type RolloutPhase = (typeof ROLLOUT_PHASES)[number];
 
-/** What bounds the requests that a bad version gets. */
+/** Bounds on the requests that a bad version gets. */
 export interface ExposureBounds {
-  /** As a part of all requests of the service in the time of the order. */
+  /** The share of all requests of the service during the rollout. */
   readonly share: number;
-  /** Requests beyond that. */
+  /** Further requests, regardless of the share. */
   readonly slack: number;
 }
 
-/** How a roll-out stands. */
+/** The state of a rollout. */
 export interface RolloutView {
   readonly phase: RolloutPhase;
   readonly verdict: VersionVerdict;
   readonly bounds: ExposureBounds;
-  /** Since the order was seen, in ms. */
+  /** The time since the order was received, in ms. */
   readonly elapsedMs: number;
-  /** The time that the operator gave, in ms. */
+  /** The time that the operator set for the rollout, in ms. */
   readonly durationMs: number;
   /** Requests of the service since the order, over all hosts. */
   readonly requests: number;
-  /** Of them, those sent to the new version. */
+  /** The requests among them that were sent to the new version. */
   readonly trialSends: number;
   /** New endpoints that can take requests. */
   readonly newEndpoints: number;
-  /** What still runs on old endpoints; undefined when not all hosts told. */
+  /** Requests running on old endpoints; undefined until all hosts reported. */
   readonly oldRunning: number | undefined;
 }
 
-/** The part of the bound that trials may use; the rest is for the change-over. */
+/** The fraction of the bound for the trial; the rest is for the switch. */
 const TRIAL_PART = 0.4;
-/** The part of the bound that is ever used, as hosts count late. */
+/** The fraction of the bound to use at all, as counts of hosts arrive late. */
 const USED_PART = 0.8;
-/** Answers of the new version before all requests go there. */
-const LEAST_TRIALS = 20;
+/** Requests to the new version before all go there without a verdict. */
+const MIN_TRIALS = 20;
 /**
- * The part of the time after which fewer trials are enough: services with few
- * requests never come to more.
+ * The fraction of the duration after which fewer trial requests are enough:
+ * services with few requests never reach the minimum.
  */
 const LATE_PART = 0.85;
 
-/** Decides which phase follows. */
+/** Decides the next phase. */
 export function decideNextPhase(view: RolloutView): RolloutPhase {
   const {phase, verdict} = view;
   const isOpen = phase === 'trial' || phase === 'moving';
@@ -80,12 +82,12 @@
   const {elapsedMs, durationMs, trialSends, newEndpoints, verdict} = view;
   if (newEndpoints === 0 || trialSends === 0) return false;
   const isLate = elapsedMs >= LATE_PART * durationMs;
-  const isTried = verdict === 'sound' || trialSends >= LEAST_TRIALS;
+  const isTried = verdict === 'sound' || trialSends >= MIN_TRIALS;
   if (!isTried && !isLate) return false;
   return elapsedMs >= durationMs || hasRoomToMove(view);
 }
 
-/** Whether the bound holds if all requests go to the new version from now on. */
+/** Tells whether the bound holds if all later requests use the new version. */
 function hasRoomToMove(view: RolloutView): boolean {
   const {elapsedMs, durationMs, requests, trialSends, bounds} = view;
   const rate = requests / Math.max(1, elapsedMs);
@@ -95,12 +97,12 @@
 }
 
 /**
- * How many requests one host may have sent to the new version in the trial:
- * all hosts together then stay within their part of the bound, whatever they
- * know of each other.
+ * Computes how many requests one host may send to the new version during the
+ * trial. All hosts together then stay within the trial's fraction of the bound,
+ * even if they don't know each other's counts.
  *
  * @param ownRequests Requests of the service at this host since the order.
- * @param hosts Hosts that take requests, this one included.
+ * @param hosts The number of hosts that take requests, this one included.
  */
 export function computeTrialQuota(
   bounds: ExposureBounds,
@@ -111,22 +113,22 @@
   return TRIAL_PART * (share * ownRequests + slack / Math.max(1, hosts));
 }
 
-/** New endpoints that a trial uses at most. */
-const MOST_TRIAL_ENDPOINTS = 4;
+/** The most new endpoints that a trial uses. */
+const MAX_TRIAL_ENDPOINTS = 4;
 
 /**
- * How many of the new endpoints a trial uses: as few as give each the load that
- * it is to carry, so that a fault under load shows, and two at least, as one
- * may fail by itself.
+ * Returns how many of the new endpoints a trial uses: so few that each gets its
+ * normal load, to reveal faults under load, but at least two, as a single one
+ * may fail for other reasons.
  */
 export function countTrialEndpoints(
   bounds: ExposureBounds,
   newEndpoints: number,
 ): number {
   const loaded = Math.ceil(newEndpoints * bounds.share * TRIAL_PART);
-  return Math.min(newEndpoints, clamp(loaded, 2, MOST_TRIAL_ENDPOINTS));
+  return Math.min(newEndpoints, clamp(loaded, 2, MAX_TRIAL_ENDPOINTS));
 }
 
-function clamp(value: number, least: number, most: number): number {
-  return Math.min(most, Math.max(least, value));
+function clamp(value: number, min: number, max: number): number {
+  return Math.min(max, Math.max(min, value));
 }
--- a/packages/decisions/src/rollout_verdict.ts
+++ b/packages/decisions/src/rollout_verdict.ts
@@ -1,58 +1,59 @@
 /**
- * Whether the new version of a service answers worse than the one before, by
- * how endpoints of both answered over the same time. An answer is bad when its
- * endpoint failed it, or when it came several times slower than usual. Each
- * route is judged by itself as well, as a version may be bad on one only; and
- * one endpoint alone never condemns a version, as it may be that endpoint.
+ * Decides whether the new version of a service is worse than the previous one,
+ * by the answers of endpoints of both versions over the same time. An answer is
+ * bad if its endpoint failed or took several times the usual time. Each route
+ * is also tested on its own, as a version may be bad on one route only. If
+ * several endpoints have answered, one of them alone doesn't make the version
+ * bad, as the fault may be that endpoint's.
  *
- * A sequential probability ratio test: the bad answers of the new version are
- * weighed as those of a version like the one before against those of one with
- * a fifth more of its answers bad. In 200 seeded trials of each of 9 kinds it
- * condemns one good version at most within 400 answers, and finds 198 or more
- * of those of which 40 in 100 answers are bad within 40.
+ * The test is a sequential probability ratio test of two hypotheses: the new
+ * version has the same rate of bad answers as the previous one, or a fifth of
+ * its good answers turned bad. In 200 seeded trials of each of 9 kinds, it
+ * rejects at most one good version within 400 answers, and detects at least 198
+ * versions with 40% bad answers within 40 answers.
  */
 
-/** Answers that were counted. */
+/** Counts of answers. */
 export interface AnswerCount {
   readonly answers: number;
   readonly bad: number;
 }
 
-/** How one route was answered. */
+/** The answers on one route. */
 export interface RouteEvidence {
   readonly route: string;
-  /** By the version before. */
+  /** Answers of the previous version. */
   readonly before: AnswerCount;
-  /** By the new version, by the instance id of the endpoint. */
+  /** Answers of the new version by the endpoint's instance id. */
   readonly byEndpoint: ReadonlyMap<string, AnswerCount>;
 }
 
-/** What is known of a new version. */
+/** The verdict on a new version; `open` until there is enough evidence. */
 export type VersionVerdict = 'bad' | 'open' | 'sound';
 
-/** The part of sound answers that a bad version turns into bad ones. */
+/** The fraction of good answers that a bad version turns into bad ones. */
 const WORSE_PART = 0.2;
-/** The least part of bad answers that any version is taken to have. */
-const LEAST_BAD = 0.01;
+/** The assumed minimum rate of bad answers of any version. */
+const MIN_BAD_RATE = 0.01;
 /**
- * How much likelier bad must be than sound, as a logarithm. A good version is
- * condemned once in some thousand roll-outs.
+ * The log-likelihood ratio from which a version is bad. Rejects a good version
+ * once in some thousand rollouts.
  */
 const BAD_AT = Math.log(3000);
-/** The same when the endpoint that speaks most against it is left out. */
+/** The same without the endpoint with the most evidence against the version. */
 const BAD_AT_WITHOUT_WORST = Math.log(30);
-/** The same while a single endpoint has answered; others may follow. */
+/** The same while only one endpoint has answered; others may follow. */
 const BAD_AT_ALONE = 2 * BAD_AT;
-/** From here on a version counts as sound. */
+/** The log-likelihood ratio down to which a version is sound. */
 const SOUND_AT = -Math.log(20);
 
-/** Gives the verdict. */
+/** Decides the verdict on the evidence of all routes. */
 export function decideVersionVerdict(
   routes: readonly RouteEvidence[],
 ): VersionVerdict {
   const weights = routes.map(computeWeight);
   const whole = addWeights(weights);
-  // Several routes are several chances to be wrong.
+  // Corrects for multiple tests: each route is another chance of a false alarm.
   const routeMargin = Math.log(Math.max(1, routes.length));
   if (isBad(whole, 0)) return 'bad';
   for (const weight of weights) {
@@ -61,17 +62,17 @@
   return whole.total <= SOUND_AT ? 'sound' : 'open';
 }
 
-/** How far the answers speak for a bad version. */
+/** The log-likelihood ratio of a bad version to a sound one. */
 interface Weight {
   readonly total: number;
-  /** By endpoint. */
+  /** The contributions by endpoint. */
   readonly parts: ReadonlyMap<string, number>;
 }
 
 function computeWeight({before, byEndpoint}: RouteEvidence): Weight {
-  // Half an answer more of each kind, so that few answers say little.
+  // Adds half an answer of each kind, so that few answers carry little weight.
   const usual = (before.bad + 0.5) / (before.answers + 1);
-  const sound = Math.max(LEAST_BAD, usual);
+  const sound = Math.max(MIN_BAD_RATE, usual);
   const worse = sound + (1 - sound) * WORSE_PART;
   const forBad = Math.log(worse / sound);
   const forSound = Math.log((1 - worse) / (1 - sound));
--- a/packages/decisions/src/route_table.ts
+++ b/packages/decisions/src/route_table.ts
@@ -1,11 +1,10 @@
 /**
- * Finds the route of a request: of the routes for its host name, the one with
- * the longest path prefix that the path begins with. Prefixes end with a
- * slash, so that one look-up for each slash of the path is enough, whatever
- * the number of routes.
+ * Finds the route of a request: the longest matching path prefix among the
+ * routes for its host name. Prefixes end with a slash, so the cost is one
+ * lookup per slash in the path, regardless of the number of routes.
  */
 
-/** What a route is found by. */
+/** The key of a route. */
 export interface RouteKey {
   readonly hostName: string;
   readonly pathPrefix: string;
@@ -27,8 +26,8 @@
   /**
    * Finds the route of a request.
    *
-   * @param hostLine What the caller sent as host; may carry a port.
-   * @param path The path, with or without a query.
+   * @param hostLine The host header of the request, with or without a port.
+   * @param path The path of the request, with or without a query.
    */
   find(hostLine: string, path: string): R | undefined {
     const prefixes = this.hosts.get(getHostName(hostLine));
--- a/packages/decisions/src/run_lease_table.ts
+++ b/packages/decisions/src/run_lease_table.ts
@@ -1,25 +1,25 @@
 /**
- * Leases on runs of suspected contents: at most one run of a content holds the
- * lease at a time. A holder renews its lease while the run lasts, so that the
- * lease of a lost host expires.
+ * Leases on runs of request contents that are suspected of crashing engines: at
+ * most one run of a content holds the lease at a time. The holder renews its
+ * lease while the run lasts, so the lease of a lost host expires.
  */
 
-/** How long a lease holds without a renewal, in ms. */
+/** How long a lease is valid without a renewal, in ms. */
 export const RUN_LEASE_MS = 1500;
-/** The least time between two requests of a waiting run, in ms. */
+/** The shortest time between two requests of a waiting run, in ms. */
 const MIN_WAIT_MS = 25;
 /**
- * Added per waiting run, in ms: all runs that wait for one content together send
- * at most a hundred requests a second.
+ * The time per waiting run, in ms: all runs that wait for one content together
+ * send at most a hundred requests per second.
  */
 const WAIT_PER_WAITER_MS = 10;
-/** A run that sent no request for so long has stopped waiting, in ms. */
+/** The time without a request after which a run no longer waits, in ms. */
 const WAITER_MS = 5000;
 
 /** The answer to a request for a lease. */
 export interface LeaseDecision {
   readonly isGranted: boolean;
-  /** When to ask again, in ms; 0 when it is granted. */
+  /** The time until the next request, in ms; 0 if the lease is granted. */
   readonly waitMs: number;
 }
 
@@ -39,7 +39,7 @@
     return this.entries.size;
   }
 
-  /** Whether a run holds the lease of a content. */
+  /** Tells whether any run holds the lease of a content. */
   isHeld(content: string, now: number): boolean {
     const entry = this.entries.get(content);
     return entry?.holder !== undefined && now < entry.expiresAt;
@@ -56,7 +56,7 @@
     return {isGranted: true, waitMs: 0};
   }
 
-  /** Grants no lease now; counts the run among those that wait. */
+  /** Adds a run to those that wait, without granting it the lease. */
   addWaiter(content: string, run: string, now: number): LeaseDecision {
     const {waiters} = this.getEntry(content);
     waiters.set(run, now);
@@ -64,7 +64,7 @@
     return {isGranted: false, waitMs};
   }
 
-  /** Ends the lease or the waiting of a run. */
+  /** Releases the lease of a run, or removes it from those that wait. */
   release(content: string, run: string): void {
     const entry = this.entries.get(content);
     if (entry === undefined) return;
--- a/packages/decisions/src/serving_decision.ts
+++ b/packages/decisions/src/serving_decision.ts
@@ -1,30 +1,30 @@
 /**
- * Whether a host may take new work with the configuration it has in force. A
- * host that hears neither the platform's table nor a host that does cannot
- * know of changes accepted elsewhere. Changes are accepted only by a host in
- * contact with more than half of all hosts, so a host that is itself in
- * contact with more than half, all without the table, knows that nobody
- * accepts any: docs/design/cut_off_host.md.
+ * Decides whether a host may take new work with its current configuration. A
+ * host that reaches neither the platform's table nor a host that does may miss
+ * changes accepted elsewhere. Only a host in contact with a majority of all
+ * hosts accepts changes. So a host that is in contact with a majority, none of
+ * which reaches the table, knows that nobody accepts any. See
+ * docs/design/cut_off_host.md.
  */
 
-/** What the host knows of its contacts. */
+/** The contact of a host with the platform's table and with other hosts. */
 export interface ContactState {
-  /** Whether any configuration is in force yet. */
+  /** Whether the host has a configuration yet. */
   readonly configured: boolean;
-  /** Milliseconds since the table was heard, at first or second hand. */
+  /** The time since the table was read, directly or by a peer, in ms. */
   readonly tableAgeMs: number;
-  /** Hosts heard of late, this one included. */
+  /** Hosts that are currently reachable, this one included. */
   readonly hostsHeard: number;
-  /** Hosts there are by the list and the members, this one included. */
+  /** All hosts by the host list and the membership, this one included. */
   readonly hostsKnown: number;
-  /** How old the table's word may be, in milliseconds. */
+  /** The maximum of `tableAgeMs` for a current configuration, in ms. */
   readonly maxTableAgeMs: number;
 }
 
-/** What a host may do. */
+/** Whether a host may take new work. */
 export type ServingDecision =
   | 'serve'
-  /** The platform is out for all; what is in force stays. */
+  /** No host reaches the platform; the current configuration stays valid. */
   | 'serve_in_outage'
   | 'refuse_cut_off'
   | 'refuse_no_configuration';
--- a/packages/decisions/src/silence_limits.ts
+++ b/packages/decisions/src/silence_limits.ts
@@ -1,75 +1,80 @@
 /**
- * How long a stream may be silent before its engine is asked, and before it is
- * taken as lost. All of it follows from the pauses and the time to a first
- * event at which the operator aims, and from the pauses that the engine makes
- * when it is well: a stream that is taken as lost too late goes on late, one
- * that is taken as lost too early costs a move for nothing.
+ * Computes how long a stream may be silent before its endpoint is probed, and
+ * before the stream counts as lost. The limits follow from the operator's
+ * targets for the gap between events and for the time to the first event, and
+ * from the gaps that the engine usually has. Limits that are too long delay the
+ * resumption of lost streams; limits that are too short move streams without
+ * need.
  */
 
-/** What the limits are made from, in ms. */
+/** The inputs of the limits, in ms. */
 export interface SilenceTargets {
-  /** The longest pause between events that the operator aims at. */
+  /** The operator's target for the longest gap between events. */
   readonly targetGapMs: number | undefined;
-  /** The time to a first event that the operator aims at. */
+  /** The operator's target for the time to the first event. */
   readonly targetLatencyMs: number;
-  /** The pause that the engine makes between events of late. */
+  /** The usual recent gap between events of the engine. */
   readonly usualGapMs: number;
 }
 
 /** The limits, in ms. */
 export interface SilenceLimits {
-  /** Silence between events before the endpoint is asked. */
+  /** The time without an event until the endpoint is probed. */
   readonly probeAfterMs: number;
-  /** How long the endpoint may take to answer. */
+  /** The time for the endpoint to answer a probe. */
   readonly probeTimeoutMs: number;
-  /** Silence after which a stream is lost though its endpoint answers. */
+  /** The time without an event until a stream is lost despite probe answers. */
   readonly lostAfterMs: number;
-  /** The wait for a first event before the endpoint is asked. */
+  /** The wait for the first event until the endpoint is probed. */
   readonly firstProbeAfterMs: number;
-  /** The time between questions before the first event. */
+  /** The interval of probes before the first event. */
   readonly probeIntervalMs: number;
 }
 
-/** The aim at pauses where the operator declares none, in ms. */
+/** The target gap if the operator sets none, in ms. */
 const DEFAULT_GAP_MS = 700;
 /**
- * Parts of the aim at pauses. Asking, the wait for an answer and going on
- * elsewhere (20 to 110 ms) fit into the aim, with a third of it to spare.
+ * Fractions of the target gap. Silence until the probe, the probe's timeout and
+ * the resumption elsewhere (20 to 110 ms) fit into the target, with a third of
+ * it to spare.
  */
-const ASK_AFTER_PART = 0.28;
-const ANSWER_PART = 0.21;
+const PROBE_AFTER_PART = 0.28;
+const PROBE_TIMEOUT_PART = 0.21;
 const LOST_AFTER_PART = 0.8;
-/** A host that is busy itself sees answers this much late, in ms. */
-const LEAST_ANSWER_MS = 80;
-/** Pauses vary; those up to this often the usual one are no sign of a loss. */
-const ASK_AFTER_USUAL = 1.5;
-const LOST_AFTER_USUAL = 3;
+/** The shortest probe timeout, in ms: a busy host sees answers this late. */
+const MIN_PROBE_TIMEOUT_MS = 80;
+/** Multiples of the usual gap that are normal variation, not a loss. */
+const PROBE_AFTER_GAPS = 1.5;
+const LOST_AFTER_GAPS = 3;
 /**
- * Parts of the aim at the first event. Half of the first events come within a
- * third of it; a loss that is noticed then leaves time to read a prompt anew.
- * Each question costs, and mostly a connection too.
+ * Fractions of the target for the first event. Half of the first events arrive
+ * within a third of it; a loss detected then leaves time for another prefill.
+ * Probes aren't more frequent, as most of them need a new connection.
  */
-const FIRST_ASK_PART = 0.27;
-const ASK_EVERY_PART = 0.13;
+const FIRST_PROBE_PART = 0.27;
+const PROBE_INTERVAL_PART = 0.13;
 
-/** Gives the limits of a stream at an engine. */
-export function computeSilenceLimits(aims: SilenceTargets): SilenceLimits {
-  const {targetGapMs = DEFAULT_GAP_MS, targetLatencyMs, usualGapMs} = aims;
-  const askAfterMs = Math.max(
-    ASK_AFTER_PART * targetGapMs,
-    ASK_AFTER_USUAL * usualGapMs,
+/** Computes the limits of a stream from an engine. */
+export function computeSilenceLimits(targets: SilenceTargets): SilenceLimits {
+  const {targetGapMs = DEFAULT_GAP_MS, targetLatencyMs, usualGapMs} = targets;
+  const probeAfterMs = Math.max(
+    PROBE_AFTER_PART * targetGapMs,
+    PROBE_AFTER_GAPS * usualGapMs,
+  );
+  const probeTimeoutMs = Math.max(
+    PROBE_TIMEOUT_PART * targetGapMs,
+    MIN_PROBE_TIMEOUT_MS,
   );
-  const answerMs = Math.max(ANSWER_PART * targetGapMs, LEAST_ANSWER_MS);
   const lostAfterMs = Math.max(
     LOST_AFTER_PART * targetGapMs,
-    LOST_AFTER_USUAL * usualGapMs,
-    askAfterMs + answerMs,
+    LOST_AFTER_GAPS * usualGapMs,
+    probeAfterMs + probeTimeoutMs,
   );
   return {
-    probeAfterMs: askAfterMs,
-    probeTimeoutMs: answerMs,
+    probeAfterMs,
+    probeTimeoutMs,
     lostAfterMs,
-    firstProbeAfterMs: FIRST_ASK_PART * targetLatencyMs,
-    probeIntervalMs: ASK_EVERY_PART * targetLatencyMs,
+    firstProbeAfterMs: FIRST_PROBE_PART * targetLatencyMs,
+    probeIntervalMs: PROBE_INTERVAL_PART * targetLatencyMs,
   };
 }
--- a/packages/decisions/src/stall_limit.ts
+++ b/packages/decisions/src/stall_limit.ts
@@ -1,11 +1,11 @@
 /**
- * How long a stream may be silent before it is looked into. The limit follows
- * the token gaps that this endpoint has had: after `probeMs` of silence the
- * endpoint is asked whether it answers at all; after `lostMs` the stream is
- * lost whatever the endpoint says. docs/design/stalls.md.
+ * Computes how long a stream may be silent, from the recent gaps between tokens
+ * of its endpoint. After `probeMs` without a token the endpoint is probed;
+ * after `lostMs` the stream is lost even if the endpoint answers. See
+ * docs/design/stalls.md.
  */
 
-/** The two limits, in milliseconds. */
+/** The limits of a stream, in milliseconds. */
 export interface StallLimits {
   readonly probeMs: number;
   readonly lostMs: number;
@@ -19,7 +19,7 @@
   readonly maxLostMs: number;
 }
 
-/** The bounds unless settings say otherwise. */
+/** The default bounds. */
 export const DEFAULT_STALL_BOUNDS: StallBounds = {
   minProbeMs: 150,
   maxProbeMs: 700,
@@ -27,23 +27,28 @@
   maxLostMs: 2500,
 };
 
-const MEAN_WEIGHT = 1 / 64;
+/** The weight of a new gap in the moving averages. */
+const GAP_WEIGHT = 1 / 64;
+/** Mean deviations above the mean up to which a gap is usual. */
 const DEVIATIONS = 6;
+/** `lostMs` as a multiple of the usual gap. */
 const LOST_FACTOR = 4;
+/** The longest wait for a first token as a multiple of the usual one. */
 const FIRST_TOKEN_FACTOR = 3;
 
-/** Gaps between tokens, or waits for first ones. */
+/** Moving statistics of the gaps between tokens, or of waits for first ones. */
 export class GapStatistics {
   private mean: number | undefined;
+  /** The mean absolute deviation. */
   private deviation = 0;
   private recorded = 0;
 
-  /** How many gaps were recorded. */
+  /** The number of recorded gaps. */
   get count(): number {
     return this.recorded;
   }
 
-  /** Takes one gap between tokens, in milliseconds. */
+  /** Records a gap. */
   record(gapMs: number): void {
     this.recorded++;
     if (this.mean === undefined) {
@@ -52,17 +57,17 @@
       return;
     }
     const difference = gapMs - this.mean;
-    this.mean += MEAN_WEIGHT * difference;
-    this.deviation += MEAN_WEIGHT * (Math.abs(difference) - this.deviation);
+    this.mean += GAP_WEIGHT * difference;
+    this.deviation += GAP_WEIGHT * (Math.abs(difference) - this.deviation);
   }
 
-  /** Gives what few gaps exceed; undefined before the first. */
+  /** Returns the upper bound of usual gaps; undefined before the first gap. */
   getUpperBoundMs(): number | undefined {
     if (this.mean === undefined) return undefined;
     return this.mean + DEVIATIONS * this.deviation;
   }
 
-  /** Gives the limits; the widest ones before the first gap is known. */
+  /** Returns the limits; the widest ones before the first gap. */
   getLimits(bounds: StallBounds): StallLimits {
     if (this.mean === undefined) {
       return {probeMs: bounds.maxProbeMs, lostMs: bounds.maxLostMs};
@@ -79,20 +84,20 @@
 }
 
 /**
- * Gives the longest wait for a first token, in milliseconds: a few times what
- * is usual, and the longest one before anything is known.
+ * Computes the longest wait for a first token, in milliseconds: a multiple of
+ * the usual wait within the bounds.
  *
- * @param usualMs Mean and deviations of the waits so far.
+ * @param usualMs The upper bound of usual waits; undefined before the first.
  */
 export function computeFirstTokenLimit(
   usualMs: number | undefined,
-  leastMs: number,
-  mostMs: number,
+  minMs: number,
+  maxMs: number,
 ): number {
-  if (usualMs === undefined) return mostMs;
-  return clamp(usualMs * FIRST_TOKEN_FACTOR, leastMs, mostMs);
+  if (usualMs === undefined) return maxMs;
+  return clamp(usualMs * FIRST_TOKEN_FACTOR, minMs, maxMs);
 }
 
-function clamp(value: number, least: number, most: number): number {
-  return Math.min(most, Math.max(least, value));
+function clamp(value: number, min: number, max: number): number {
+  return Math.min(max, Math.max(min, value));
 }
--- a/packages/decisions/src/store_readers.ts
+++ b/packages/decisions/src/store_readers.ts
@@ -1,17 +1,17 @@
 /**
- * Which hosts follow the store for all. Each call to the store costs, and
- * changes reach the other hosts by datagrams, so a few hosts read and the
- * rest listen. All hosts find the same few from the records of hosts; a host that
- * the store turns away says so, and the next in the order takes its place.
+ * Chooses the few hosts that read changes from the store for all. Calls to the
+ * store are costly, so the other hosts receive changes by datagrams instead.
+ * All hosts derive the same choice from the host records. A host that the store
+ * rejects reports this in its record, and the next one in order replaces it.
  *
- * The hosts that run for longest go first. By an order of the names alone a host
- * that starts displaces a reader, so of hosts that start one after another many
- * read for a while.
+ * Hosts that have run longest come first. In an order by name alone, a starting
+ * host could displace a reader, so many of the hosts that start one after
+ * another would read for a while.
  */
 import {hashText} from './hash.js';
 import type {HostState} from './host_record.js';
 
-/** A host that the store turns away is worse than one that has no copy yet. */
+/** A host that the store rejects ranks below one without a copy. */
 const AWAY_FAULTS = 2;
 
 /** A host that may read the store. */
@@ -20,15 +20,15 @@
   /** Higher for a host that started later. */
   readonly incarnation: number;
   readonly state: HostState;
-  /** Whether its last calls failed, a moment ago. */
+  /** Whether its latest calls to the store failed. */
   readonly isStoreAway: boolean;
 }
 
 /**
- * Chooses the hosts that read. Those that the store turns away, those that have
- * no copy yet and those that are about to stop are taken only when there are not
- * enough others: somebody has to notice the store's return, and a host that
- * starts would take the place of one that reads while it reads nothing itself.
+ * Chooses the hosts that read. Hosts that the store rejects, that have no copy
+ * yet, or that are about to stop are chosen only if there are not enough
+ * others: some host has to notice when the store is back, and a starting host
+ * would displace a reader while it can't read for others yet.
  */
 export function chooseStoreReaders(
   candidates: readonly ReaderCandidate[],
--- a/packages/decisions/src/store_revision.ts
+++ b/packages/decisions/src/store_revision.ts
@@ -1,17 +1,17 @@
 /**
- * Revisions of a store that may be restored from an older copy. After a restore
- * it reuses change numbers and reports a higher era. A revision has the era in
- * its upper bits, so revisions of all eras have one total order.
+ * Revisions of a store that may be restored from a backup. A restored store
+ * reuses change numbers and reports a higher era. A revision holds the era in
+ * its upper bits, so the revisions of all eras are totally ordered.
  */
 
-/** Changes per era; 29 years at 1,200 a second. */
+/** Changes per era; they last 29 years at 1,200 per second. */
 const CHANGES_PER_ERA = 2 ** 40;
-/** Distinct eras; the era wraps around. */
+/** The number of eras; the era wraps around. */
 const ERAS = 2 ** 12;
-/** Less than one change; exact for every era. */
+/** Less than one change; exactly representable in every era. */
 const HALF_CHANGE = 0.5;
 
-/** Gives the era of revisions for the era that the store names. */
+/** Computes the era used in revisions from the era that the store reports. */
 export function computeEra(storeEra: number): number {
   return storeEra % ERAS;
 }
@@ -21,20 +21,20 @@
   return computeEra(era) * CHANGES_PER_ERA + change;
 }
 
-/** Gives the era of a revision. */
+/** Returns the era of a revision. */
 export function getEra(revision: number): number {
   return Math.floor(revision / CHANGES_PER_ERA);
 }
 
-/** Gives the number of the change of a revision, as the store knows it. */
+/** Returns the store's change number of a revision. */
 export function getChangeNumber(revision: number): number {
   return Math.floor(revision) - getEra(revision) * CHANGES_PER_ERA;
 }
 
 /**
- * Gives the revision of rows whose state only a whole read shows, such as
- * deleted ones: after the last change and before the next, so that holders of
- * the last change fetch them.
+ * Returns the revision for rows whose state is known only from a full read,
+ * such as deleted rows: after the last change and before the next, so that
+ * hosts that hold the last change fetch these rows.
  */
 export function getSettledRevision(revision: number): number {
   return revision + HALF_CHANGE;
--- a/packages/decisions/src/suspension_detector.ts
+++ b/packages/decisions/src/suspension_detector.ts
@@ -1,43 +1,46 @@
 /**
- * Notices that this machine was suspended. Its steady clock stands still then,
- * so whatever it judges by age looks fresh when it wakes. Node reads no clock
- * that counts the suspension but the time of day, which may also be set; so the
- * steady clocks of other hosts are witnesses, which they tell with each message.
+ * Detects that this machine was suspended. Its monotonic clock stops during a
+ * suspension, so on wake-up everything that is judged by age looks fresh. The
+ * only clock in Node that counts the suspension is the wall clock, which may
+ * also be set. Therefore other hosts send their monotonic clocks with each
+ * message, as witnesses.
  *
- * A message may be late but never early. Of all messages of a host, the one by
- * which its clock was furthest ahead of the own one had the least delay; a clock
- * that is suddenly further ahead than that shows that the own one stood still, or
- * that all messages were late before. The time of day tells which: it has gone on
- * as far. Where it was set at the same time, two hosts have to agree.
+ * A message may be late but never early. Of all messages from a host, the one
+ * with the largest lead of its clock over the local one had the least delay. If
+ * the lead suddenly exceeds that, either the local clock stopped, or all
+ * earlier messages were late. The wall clock tells which: after a suspension it
+ * has advanced by the same amount. If it was set at the same time, two hosts
+ * have to agree.
  */
 
-/** What a message says of clocks; all in ms. */
+/** The clocks at the arrival of a message, in ms. */
 export interface ClockReading {
   readonly host: string;
-  /** Which life of that host it is; a new one has a new clock. */
+  /** The sender's incarnation; each one has a new clock. */
   readonly incarnation: number;
-  /** The sender's steady clock when the message was sent. */
+  /** The sender's monotonic clock when the message was sent. */
   readonly theirMs: number;
-  /** The own steady clock now; it stands still during a suspension. */
+  /** The local monotonic clock now; it stops during a suspension. */
   readonly ownMs: number;
-  /** The time of day now. */
+  /** The wall clock now. */
   readonly wallMs: number;
 }
 
-/** Less than this is no suspension, in ms: a message may be late by itself. */
-const LEAST_MS = 400;
+/** The shortest suspension to detect, in ms; less may be a message's delay. */
+const MIN_SUSPENSION_MS = 400;
 /**
- * How long a host's word waits for a second one, and what was known before counts
- * beside what is new, in ms; twice that at most. Messages that were sent during
- * the suspension are read first, and each says a little more than the last.
+ * How long a report of one host waits for a second witness, and the least time
+ * for which the previous largest lead is kept beside the new one, in ms; it is
+ * kept for twice that at most. Messages sent during the suspension are read
+ * first, and each of them shows a little more of it than the one before.
  */
 const WITNESS_MS = 2000;
-/** By how much witnesses may differ, in ms. */
+/** The largest difference between witnesses that agree, in ms. */
 const AGREEMENT_MS = 300;
-/** By how much steady clocks may run apart, in ms a ms; twice a usual quartz's. */
+/** Assumed drift of monotonic clocks, in ms per ms; twice a usual quartz's. */
 const DRIFT = 0.0002;
 
-/** By how much another clock was ahead of the own one at most, in ms. */
+/** The largest lead of another host's clock over the local one, in ms. */
 class Lead {
   private recent: number;
 
@@ -48,7 +51,7 @@
     this.recent = known;
   }
 
-  /** Takes a lead; gives by how much it is beyond what was known. */
+  /** Records a lead; returns by how much it exceeds the known maximum. */
   accept(lead: number, now: number): number {
     const elapsed = now - this.since;
     if (elapsed >= WITNESS_MS) {
@@ -60,19 +63,19 @@
     return lead - this.known;
   }
 
-  /** Takes it that the own clock has made up for a time. */
+  /** Adds a reported suspension, which enlarges the lead for good. */
   add(ms: number): void {
     this.known += ms;
   }
 }
 
-/** By how much the time of day was ahead of the own clock, in ms. */
+/** The lead of the wall clock over the local monotonic clock, in ms. */
 class WallLead {
   private known: number | undefined;
   private latest = 0;
   private since = 0;
 
-  /** Takes a lead; gives by how much it has changed of late. */
+  /** Records a lead; returns by how much it changed recently. */
   accept(lead: number, now: number): number {
     if (this.known === undefined) {
       this.known = lead;
@@ -87,7 +90,7 @@
     return lead - this.known;
   }
 
-  /** Takes it that the own clock has made up for a time. */
+  /** Adds a reported suspension, which enlarges the lead for good. */
   add(ms: number): void {
     if (this.known !== undefined) this.known += ms;
   }
@@ -98,23 +101,24 @@
   readonly lead: Lead;
 }
 
-interface Word {
+/** A suspension as the clock of one host shows it. */
+interface Witness {
   readonly host: string;
   readonly ms: number;
   readonly at: number;
 }
 
-/** Compares clocks. */
+/** Detects suspensions from the clocks of messages. */
 export class SuspensionDetector {
   private readonly clocks = new Map<string, HostClock>();
   private readonly wall = new WallLead();
-  private word: Word | undefined;
+  private witness: Witness | undefined;
 
   /**
-   * Takes what a message says.
+   * Accepts the clocks of a message.
    *
-   * @returns For how long the machine was suspended, in ms, as far as it is not
-   *   told yet; 0 for not at all.
+   * @returns The duration of the suspension, in ms, without what was returned
+   *     before; 0 for none.
    */
   accept({host, incarnation, theirMs, ownMs, wallMs}: ClockReading): number {
     const wallGrowth = this.wall.accept(wallMs - ownMs, ownMs);
@@ -125,34 +129,34 @@
       return 0;
     }
     const growth = clock.lead.accept(lead, ownMs);
-    if (growth < LEAST_MS) return 0;
-    const word = {host, ms: growth, at: ownMs};
-    const ms = this.decideLength(word, wallGrowth);
+    if (growth < MIN_SUSPENSION_MS) return 0;
+    const witness = {host, ms: growth, at: ownMs};
+    const ms = this.decideLength(witness, wallGrowth);
     if (ms > 0) this.addToLeads(ms);
     return ms;
   }
 
-  /** Forgets a host. */
+  /** Drops the clock of a host. */
   drop(host: string): void {
     this.clocks.delete(host);
   }
 
-  private decideLength(word: Word, wallGrowth: number): number {
-    // It counts suspensions; what it does not show was a delay of messages.
+  private decideLength(witness: Witness, wallGrowth: number): number {
+    // The wall clock counts suspensions; without growth, messages were late.
     if (Math.abs(wallGrowth) < AGREEMENT_MS) return 0;
-    if (wallGrowth >= word.ms - AGREEMENT_MS) return word.ms;
-    // It was set in the meantime: another host has to say the same.
-    const before = this.word;
-    this.word = word;
-    if (before === undefined || before.host === word.host) return 0;
-    if (word.at - before.at > WITNESS_MS) return 0;
-    if (Math.abs(word.ms - before.ms) > AGREEMENT_MS) return 0;
-    return Math.min(word.ms, before.ms);
+    if (wallGrowth >= witness.ms - AGREEMENT_MS) return witness.ms;
+    // The wall clock was set meanwhile, so a second host has to agree.
+    const before = this.witness;
+    this.witness = witness;
+    if (before === undefined || before.host === witness.host) return 0;
+    if (witness.at - before.at > WITNESS_MS) return 0;
+    if (Math.abs(witness.ms - before.ms) > AGREEMENT_MS) return 0;
+    return Math.min(witness.ms, before.ms);
   }
 
-  /** What was told of is in all leads from now on. */
+  /** Adds a reported suspension to all leads; it isn't reported again. */
   private addToLeads(ms: number): void {
-    this.word = undefined;
+    this.witness = undefined;
     this.wall.add(ms);
     for (const {lead} of this.clocks.values()) lead.add(ms);
   }
--- a/packages/decisions/src/table_replica.ts
+++ b/packages/decisions/src/table_replica.ts
@@ -1,57 +1,57 @@
 /**
- * A copy of a watched table. Rows come from the store or from other hosts, in
- * any order and more than once; a row is taken only when its revision is
- * higher than that of the known one, so that nothing goes back. Deleted rows
- * are remembered for a while, as another source may still give the old row.
+ * A replica of a watched table. Rows come from the store or from other hosts,
+ * in any order and more than once. A row is applied only if its revision is
+ * higher than the known one, so the replica never goes back. Deleted rows are
+ * kept as tombstones for a while, as another source may still send the old row.
  */
 
 import {getSettledRevision, getEra} from './store_revision.js';
 
-/** A row; without a value it was deleted at that revision. */
+/** A row; without a value, it was deleted at that revision. */
 export interface ReplicaRow {
   readonly key: string;
   readonly value: string | undefined;
   readonly revision: number;
 }
 
-/** How many deleted rows are remembered. */
+/** The most tombstones to keep; beyond this, the oldest half is dropped. */
 const MAX_DELETED = 1000;
 
-/** A copy of a table. */
+/** A replica of a table. */
 export class TableReplica {
   private readonly rows = new Map<string, ReplicaRow>();
   private deletedCount = 0;
   private known = 0;
   private newestRow = 0;
-  /** Changes up to this revision may have been forgotten. */
+  /** Tombstones up to this revision may have been dropped. */
   private forgottenUpTo = 0;
   private loaded = false;
 
-  /** The newest revision up to which the copy is whole. */
+  /** The revision up to which the replica is complete. */
   get revision(): number {
     return this.known;
   }
 
   /**
-   * The highest revision of a change up to which the copy is whole; rows that
-   * were deleted count.
+   * The highest revision of a change, deletions included, up to which the
+   * replica is complete.
    */
   get lastChange(): number {
     return this.newestRow;
   }
 
-  /** Whether the table was ever read whole. */
+  /** Whether the table was ever read in full. */
   get isLoaded(): boolean {
     return this.loaded;
   }
 
-  /** Takes changes that follow each other; gives those that are news. */
+  /** Applies consecutive changes; returns those that changed a value. */
   applyChanges(changes: readonly ReplicaRow[], revision: number): ReplicaRow[] {
     const news: ReplicaRow[] = [];
     this.known = Math.max(this.known, revision);
     for (const change of changes) {
-      // Later pages of a whole read hold changes beyond its revision, and may
-      // lack others before them: up to those the copy is not whole yet.
+      // Later pages of a full read contain changes beyond its revision, but may
+      // lack others before these, so the replica isn't complete up to them.
       if (Math.floor(change.revision) <= this.known) {
         this.newestRow = Math.max(this.newestRow, change.revision);
       }
@@ -62,24 +62,25 @@
   }
 
   /**
-   * Takes the whole table as of a revision; known rows that it lacks were
-   * deleted. A table older than the copy is not taken.
+   * Applies a full read as of a revision; known rows that it lacks were
+   * deleted. A read older than the replica is ignored.
    */
   applyAll(rows: readonly ReplicaRow[], revision: number): ReplicaRow[] {
     if (this.loaded && revision < this.known) return [];
     const deletions = this.listMissing(rows, revision).map((row) => {
       return {...row, value: undefined, revision};
     });
-    // Rows deleted before the first read are unknown.
+    // There are no tombstones for rows deleted before the first read.
     if (!this.loaded) this.forgottenUpTo = revision;
     this.loaded = true;
     return this.applyChanges([...rows, ...deletions], revision);
   }
 
   /**
-   * Applies a whole read after the writers of a restored store had time to write
-   * again: missing rows are deleted, rows present in the store come back. Changes
-   * after the read may have been applied already and are kept.
+   * Applies a full read of a restored store whose writers had time to write
+   * again: missing rows are deleted, and deleted rows that the store has are
+   * restored. Changes after the read may have been applied already and are
+   * kept.
    */
   applySettled(rows: readonly ReplicaRow[], revision: number): ReplicaRow[] {
     const settledAt = getSettledRevision(Math.max(revision, this.known));
@@ -98,21 +99,21 @@
   }
 
   /**
-   * Applies the first whole read of a restored store. Missing rows are kept and
+   * Applies the first full read of a restored store. Missing rows are kept and
    * deleted rows stay deleted, as their writers may not have written again yet;
-   * `applySettled` decides on them.
+   * `applySettled` resolves them later.
    */
   applyRestored(rows: readonly ReplicaRow[], revision: number): ReplicaRow[] {
     const taken = rows.filter(({key}) => {
       const known = this.rows.get(key);
       return known === undefined || known.value !== undefined;
     });
-    // Copies of an older era get the whole table.
+    // Replicas of an older era fetch the full table.
     this.forgottenUpTo = Math.max(this.forgottenUpTo, revision);
     return this.applyChanges(taken, revision);
   }
 
-  /** Whether a row exists in the current era of the store. */
+  /** Tells whether a row exists in the current era of the store. */
   isInCurrentEra(key: string): boolean {
     const row = this.rows.get(key);
     if (row?.value === undefined) return false;
@@ -120,25 +121,25 @@
   }
 
   /**
-   * Lists the rows that changed after a revision, deleted ones included;
-   * undefined when they are not known any more.
+   * Lists the rows that changed after a revision, tombstones included;
+   * undefined if some of them may have been dropped.
    */
   listAfter(revision: number): ReplicaRow[] | undefined {
     if (!this.loaded || revision < this.forgottenUpTo) return undefined;
     return [...this.rows.values()].filter((row) => row.revision > revision);
   }
 
-  /** Finds a row; a deleted one has no value. */
+  /** Finds a row or its tombstone. */
   find(key: string): ReplicaRow | undefined {
     return this.rows.get(key);
   }
 
-  /** Lists the rows that there are. */
+  /** Lists the existing rows. */
   listAll(): ReplicaRow[] {
     return [...this.rows.values()].filter((row) => row.value !== undefined);
   }
 
-  /** Lists the rows that a whole read as of a revision lacks. */
+  /** Lists the existing rows that a full read as of a revision lacks. */
   listMissing(rows: readonly ReplicaRow[], revision: number): ReplicaRow[] {
     const present = new Set(rows.map(({key}) => key));
     return this.listAll().filter(
@@ -155,7 +156,7 @@
       this.deletedCount--;
     }
     if (change.value === undefined) this.deletedCount++;
-    // Taken out first, so that the rows stand in the order of their changes.
+    // Reinserted last, so that rows are in the order of their changes.
     this.rows.delete(change.key);
     this.rows.set(change.key, change);
     return before?.value !== change.value;
--- a/packages/decisions/src/update_sources.ts
+++ b/packages/decisions/src/update_sources.ts
@@ -1,23 +1,24 @@
 /**
- * Which hosts have told of a newer change of a table, and whom of them to ask
- * for it: who told last, as it is the likeliest to be there; nobody twice who
- * did not answer, unless it tells again.
+ * Tracks which hosts announced a newer revision of a table and chooses the one
+ * to fetch it from: the last to announce, as it is the most likely to be
+ * reachable. A host that didn't answer isn't asked again until it announces
+ * anew.
  */
 
-/** Sources that are kept; who told first is forgotten. */
+/** Sources to keep; the one that announced least recently is dropped first. */
 const MAX_SOURCES = 8;
 
-/** The hosts that have a newer change. */
+/** The hosts that announced revisions of a table. */
 export class UpdateSources {
-  /** The newest change told, by address; who told last stands last. */
+  /** The announced revisions by address, the latest announcement last. */
   private readonly told = new Map<string, number>();
 
-  /** Whether anybody told of a change beyond the one held. */
+  /** Tells whether any host announced a revision above the held one. */
   hasUpdate(held: number): boolean {
     return this.choose(held, new Set()) !== undefined;
   }
 
-  /** Takes it that the host at an address has changes up to a revision. */
+  /** Records that a host announced changes up to a revision. */
   recordAnnouncement(address: string, revision: number): void {
     this.told.delete(address);
     this.told.set(address, revision);
@@ -27,21 +28,21 @@
     }
   }
 
-  /** Gives up to which revision a host told of changes; 0 for none. */
+  /** Returns the revision that a host announced; 0 without one. */
   getAnnounced(address: string): number {
     return this.told.get(address) ?? 0;
   }
 
-  /** Forgets what a host told up to a revision: it was asked for that. */
+  /** Drops the announcement of a host that was asked for this revision. */
   drop(address: string, revision: number): void {
     if (this.getAnnounced(address) <= revision) this.told.delete(address);
   }
 
   /**
-   * Chooses whom to ask; undefined for nobody.
+   * Chooses the address to fetch from; undefined if there is none.
    *
-   * @param held The newest change held.
-   * @param asked The addresses that are being asked.
+   * @param held The highest revision that this host holds.
+   * @param asked Addresses with a pending fetch.
    */
   choose(held: number, asked: ReadonlySet<string>): string | undefined {
     let chosen: string | undefined;
--- a/packages/decisions/src/wait_estimate.ts
+++ b/packages/decisions/src/wait_estimate.ts
@@ -1,31 +1,36 @@
 /**
- * How long a request would wait, from how fast the queue has been emptied.
- * It is what lets a request that cannot be served in time be refused at once
- * and the caller be told when to come back.
+ * Estimates how long a request would wait in a queue from the recent rate of
+ * departures. A request that can't be served in time is refused at once, and
+ * its caller is told when to retry.
  */
 
+/** The weight of a new gap in the moving average. */
 const GAP_WEIGHT = 0.1;
-// A pause a few times as long as usual says more than the past does.
+/**
+ * A pause since the last departure of more than this many mean gaps replaces
+ * the mean gap in the estimate, at this fraction of its length.
+ */
 const PAUSE_FACTOR = 3;
+/** Bounds of `Retry-After`, in seconds. */
 const MIN_RETRY_SECONDS = 1;
 const MAX_RETRY_SECONDS = 60;
 
-/** The pace at which a queue is emptied, while it is not empty. */
+/** Tracks the rate of departures from a queue while it isn't empty. */
 export class WaitEstimate {
   private meanGapMs: number | undefined;
   private lastAt: number | undefined;
 
-  /** Notes that requests wait. */
+  /** Records that requests are waiting. */
   startBusy(nowMs: number): void {
     this.lastAt ??= nowMs;
   }
 
-  /** Notes that no request waits. */
+  /** Records that no request is waiting. */
   endBusy(): void {
     this.lastAt = undefined;
   }
 
-  /** Counts a request that left the queue to run. */
+  /** Records that a request left the queue to run. */
   recordDequeue(nowMs: number): void {
     if (this.lastAt === undefined) return;
     const gap = nowMs - this.lastAt;
@@ -35,8 +40,8 @@
   }
 
   /**
-   * Estimates the wait of the last of so many requests, in milliseconds;
-   * undefined while nothing is known.
+   * Estimates the wait of the last of `waiting` requests, in milliseconds;
+   * undefined before the first departure.
    */
   getWaitMs(waiting: number, nowMs: number): number | undefined {
     if (this.meanGapMs === undefined) return undefined;
@@ -46,10 +51,10 @@
 }
 
 /**
- * Gives the whole seconds after which to come back, with a spread so that
- * refused callers do not all come back at once.
+ * Computes the value of `Retry-After`, in whole seconds, with jitter so that
+ * refused callers don't all return at once.
  *
- * @param spread A random part from 0 to 1.
+ * @param spread A random number from 0 to 1.
  */
 export function computeRetryAfterSeconds(
   waitMs: number,
--- a/packages/decisions/src/watch_targets.ts
+++ b/packages/decisions/src/watch_targets.ts
@@ -1,22 +1,28 @@
 /**
- * Whom a host watches. In a small deployment everybody watches everybody; in
- * a large one each host has its place on a ring and watches the hosts a few
- * fixed steps on. Every host then has as many watchers as it watches, all
- * hosts are joined in a few steps, and no cost grows with their number:
+ * Chooses which hosts a host monitors. In a small deployment each host monitors
+ * all others. In a large one, hosts are ordered on a hash ring, and each
+ * monitors the hosts at a few fixed distances from itself. Thus each host has
+ * as many monitors as it monitors hosts, news reach all hosts in a few hops,
+ * and the cost per host doesn't grow with the deployment. See
  * docs/design/membership.md.
  */
 import {hashText} from './hash.js';
 
-const ALL_BELOW = 12;
+/** The largest deployment in which each host monitors all others. */
+const FULL_MESH_HOSTS = 12;
 
-/** Gives the hosts that a host watches, out of all, itself included. */
+/**
+ * Chooses the hosts that a host monitors.
+ *
+ * @param hosts All hosts; may include the host itself.
+ */
 export function chooseWatchTargets(
   self: string,
   hosts: readonly string[],
 ): string[] {
   const ring = sortOnRing(new Set([...hosts, self]));
   const size = ring.length;
-  if (size <= ALL_BELOW) return ring.filter((host) => host !== self);
+  if (size <= FULL_MESH_HOSTS) return ring.filter((host) => host !== self);
   const at = ring.indexOf(self);
   const root = Math.floor(Math.sqrt(size));
   const steps = [1, 2, root, Math.floor(size / 2)];
@@ -26,7 +32,7 @@
   ) as string[];
 }
 
-/** Sorts by a hash, worked out once for each host. */
+/** Sorts hosts by hash, computing it once for each host. */
 function sortOnRing(hosts: Iterable<string>): string[] {
   const places = [...hosts].map((host) => ({host, place: hashText(host)}));
   places.sort((a, b) => a.place - b.place || (a.host < b.host ? -1 : 1));
--- a/packages/decisions/src/weighted_share.ts
+++ b/packages/decisions/src/weighted_share.ts
@@ -1,14 +1,14 @@
-/** Splits requests by weight. */
+/** Weighted random choice among shares of requests. */
 
-/** One of several shares; a weight of 0 gets nothing. */
+/** A share of the requests; a share with weight 0 gets none. */
 export interface Share {
   readonly weight: number;
 }
 
 /**
- * Chooses a share.
+ * Chooses a share; undefined if no weight is above 0.
  *
- * @param point Where in the sum of the weights, from 0 up to 1.
+ * @param point A position within the sum of the weights, from 0 to below 1.
  */
 export function chooseShare<S extends Share>(
   shares: readonly S[],
--- a/packages/decisions/src/windowed_retry_budget.ts
+++ b/packages/decisions/src/windowed_retry_budget.ts
@@ -1,54 +1,52 @@
 /**
- * How many repeated sends a service may get in a window, kept by one host as
- * its share of what all hosts may do together: a part of the requests that
- * this host took for the service, and an equal part of the fixed allowance.
- * Every window of the given length counts, so sends are kept for two windows
- * and looked at over the last one.
+ * Limits the retries of a service in a sliding window. Each host enforces its
+ * share of the budget of all hosts: a ratio of the requests that it received
+ * for the service, plus an equal share of the fixed allowance.
  */
 
-/** The bounds of a budget over all hosts together. */
+/** The budget of all hosts together. */
 export interface WindowedRetryBudgetOptions {
   readonly windowMs: number;
-  /** Repeated sends for each request. */
+  /** Retries per request in the window. */
   readonly ratio: number;
-  /** Repeated sends in a window whatever the requests, for all hosts. */
+  /** Further retries per window, regardless of requests, for all hosts. */
   readonly allowance: number;
-  /** The part of both that is used, to stay clear of the bound. */
+  /** The fraction of both that is used, as a safety margin. */
   readonly usedFraction: number;
 }
 
-/** One host's share of a budget of repeated sends. */
+/** One host's share of a retry budget. */
 export class WindowedRetryBudget {
   private readonly requests: number[] = [];
-  private readonly repeats: number[] = [];
+  private readonly retries: number[] = [];
 
   constructor(private options: WindowedRetryBudgetOptions) {}
 
-  /** Takes other bounds; what was counted so far stays. */
+  /** Changes the bounds; counted requests and retries remain. */
   setBounds(options: WindowedRetryBudgetOptions): void {
     this.options = options;
   }
 
-  /** Counts a request that arrived. */
+  /** Counts a received request. */
   addRequest(nowMs: number): void {
     this.requests.push(nowMs);
     this.dropOld(nowMs);
   }
 
-  /** Takes one repeated send; false when the share is used up. */
+  /** Takes one retry; false when this host's share is used up. */
   takeRetry(nowMs: number, hosts: number): boolean {
     this.dropOld(nowMs);
     const {ratio, allowance, usedFraction: usedPart} = this.options;
     const share = allowance / Math.max(1, hosts);
     const most = usedPart * (ratio * this.requests.length + share);
-    if (this.repeats.length + 1 > most) return false;
-    this.repeats.push(nowMs);
+    if (this.retries.length + 1 > most) return false;
+    this.retries.push(nowMs);
     return true;
   }
 
   private dropOld(nowMs: number): void {
     const from = nowMs - this.options.windowMs;
-    for (const times of [this.requests, this.repeats]) {
+    for (const times of [this.requests, this.retries]) {
       let old = 0;
       while (old < times.length && (times[old] ?? 0) < from) old++;
       if (old > 0) times.splice(0, old);
