--- a/packages/decisions/src/cached_prompt.ts
+++ b/packages/decisions/src/cached_prompt.ts
@@ -13,17 +13,17 @@
 /**
  * Returns the number of leading tokens that need no prefill.
  *
- * @param kept Cached tokens of each part, by the part's id.
+ * @param cached Cached tokens of each part, by the part's id.
  */
 export function computeCachedTokens(
   prompt: readonly PromptPartView[],
-  kept: ReadonlyMap<string, number>,
+  cached: ReadonlyMap<string, number>,
 ): number {
   let tokens = 0;
   for (const part of prompt) {
-    const of = Math.min(kept.get(part.id) ?? 0, part.tokens);
-    tokens += of;
-    if (of < part.tokens) break;
+    const cachedTokens = Math.min(cached.get(part.id) ?? 0, part.tokens);
+    tokens += cachedTokens;
+    if (cachedTokens < part.tokens) break;
   }
   return tokens;
 }
--- a/packages/decisions/src/lease.ts
+++ b/packages/decisions/src/lease.ts
@@ -67,8 +67,8 @@
     if (this.seen === undefined || !isSame(this.seen.row, row)) {
       this.seen = {row, since: now};
     }
-    const {leaseMs, maxOrderMs: longestOrderMs} = this.times;
-    if (now - this.seen.since < leaseMs + longestOrderMs) return {step: 'wait'};
+    const {leaseMs, maxOrderMs} = this.times;
+    if (now - this.seen.since < leaseMs + maxOrderMs) return {step: 'wait'};
     return this.createAcquire(row.fence, row.renewal);
   }
 
--- a/packages/decisions/src/pause_request.ts
+++ b/packages/decisions/src/pause_request.ts
@@ -38,12 +38,12 @@
 /**
  * Computes the retry delay of a caller that was rejected during a pause, in ms.
  *
- * @param part A random number from 0 to 1.
+ * @param random A random number from 0 to 1.
  */
 export function computeRetryDelayMs(
   end: number,
   now: number,
-  part: number,
+  random: number,
 ): number {
-  return Math.max(0, end - now) + RETRY_JITTER_MS * part;
+  return Math.max(0, end - now) + RETRY_JITTER_MS * random;
 }
--- a/packages/decisions/src/permit_bucket.ts
+++ b/packages/decisions/src/permit_bucket.ts
@@ -77,9 +77,9 @@
   }
 
   private update(perSecond: number, now: number): void {
-    const most = BURST + BURST_SECONDS * perSecond;
+    const max = BURST + BURST_SECONDS * perSecond;
     const passedMs = Math.max(0, now - this.filledAt);
     this.filledAt = Math.max(now, this.filledAt);
-    this.tokens = Math.min(most, this.tokens + (passedMs * perSecond) / MILLI);
+    this.tokens = Math.min(max, this.tokens + (passedMs * perSecond) / MILLI);
   }
 }
--- a/packages/decisions/src/permit_issuer.ts
+++ b/packages/decisions/src/permit_issuer.ts
@@ -81,12 +81,12 @@
   computeShare(instanceId: string, perSecond: number, now: number): number {
     if (now - this.startedAt < START_MS) return 0;
     const count = this.countIssuers(perSecond);
-    const place = this.getOrder(instanceId).indexOf(this.ownName);
-    if (place === -1 || place >= count) return 0;
-    const {names, possiblyAlive: mayLive} = this.hosts;
-    const heard = names.length / Math.max(1, mayLive);
-    const part = heard > 1 / 2 ? 1 : heard * MINOR_SIDE_PART;
-    return part / count;
+    const rank = this.getOrder(instanceId).indexOf(this.ownName);
+    if (rank === -1 || rank >= count) return 0;
+    const {names, possiblyAlive} = this.hosts;
+    const heard = names.length / Math.max(1, possiblyAlive);
+    const share = heard > 1 / 2 ? 1 : heard * MINOR_SIDE_PART;
+    return share / count;
   }
 
   /** Counts the issuers over which a limit is split. */
@@ -118,10 +118,10 @@
   instanceId: string,
   names: readonly string[],
 ): string[] {
-  const placed = names.map((name) => ({
+  const hashed = names.map((name) => ({
     name,
-    place: hashText(`${instanceId}/${name}`),
+    hash: hashText(`${instanceId}/${name}`),
   }));
-  placed.sort((a, b) => a.place - b.place);
-  return placed.map(({name}) => name);
+  hashed.sort((a, b) => a.hash - b.hash);
+  return hashed.map(({name}) => name);
 }
--- a/packages/decisions/src/rendezvous_hash.ts
+++ b/packages/decisions/src/rendezvous_hash.ts
@@ -16,10 +16,10 @@
   engines: readonly E[],
   key: string,
 ): E[] {
-  const placed = engines.map((engine) => ({
+  const hashed = engines.map((engine) => ({
     engine,
-    place: hashText(`${key}/${engine.instanceId}`),
+    hash: hashText(`${key}/${engine.instanceId}`),
   }));
-  placed.sort((a, b) => a.place - b.place);
-  return placed.map(({engine}) => engine);
+  hashed.sort((a, b) => a.hash - b.hash);
+  return hashed.map(({engine}) => engine);
 }
--- a/packages/decisions/src/rollout_plan.ts
+++ b/packages/decisions/src/rollout_plan.ts
@@ -92,8 +92,8 @@
   const {elapsedMs, durationMs, requests, trialSends, bounds} = view;
   const rate = requests / Math.max(1, elapsedMs);
   const later = rate * (durationMs - elapsedMs);
-  const most = bounds.share * (requests + later) + bounds.slack;
-  return trialSends + later <= USED_PART * most;
+  const bound = bounds.share * (requests + later) + bounds.slack;
+  return trialSends + later <= USED_PART * bound;
 }
 
 /**
--- a/packages/decisions/src/rollout_verdict.ts
+++ b/packages/decisions/src/rollout_verdict.ts
@@ -51,25 +51,25 @@
 export function decideVersionVerdict(
   routes: readonly RouteEvidence[],
 ): VersionVerdict {
-  const weights = routes.map(computeWeight);
-  const whole = addWeights(weights);
+  const ratios = routes.map(computeLogRatio);
+  const combined = addLogRatios(ratios);
   // Corrects for multiple tests: each route is another chance of a false alarm.
   const routeMargin = Math.log(Math.max(1, routes.length));
-  if (isBad(whole, 0)) return 'bad';
-  for (const weight of weights) {
-    if (isBad(weight, routeMargin)) return 'bad';
+  if (isBad(combined, 0)) return 'bad';
+  for (const ratio of ratios) {
+    if (isBad(ratio, routeMargin)) return 'bad';
   }
-  return whole.total <= SOUND_AT ? 'sound' : 'open';
+  return combined.total <= SOUND_AT ? 'sound' : 'open';
 }
 
 /** The log-likelihood ratio of a bad version to a sound one. */
-interface Weight {
+interface LogRatio {
   readonly total: number;
   /** The contributions by endpoint. */
   readonly parts: ReadonlyMap<string, number>;
 }
 
-function computeWeight({before, byEndpoint}: RouteEvidence): Weight {
+function computeLogRatio({before, byEndpoint}: RouteEvidence): LogRatio {
   // Adds half an answer of each kind, so that few answers carry little weight.
   const usual = (before.bad + 0.5) / (before.answers + 1);
   const sound = Math.max(MIN_BAD_RATE, usual);
@@ -86,19 +86,19 @@
   return {total, parts};
 }
 
-function addWeights(weights: readonly Weight[]): Weight {
+function addLogRatios(ratios: readonly LogRatio[]): LogRatio {
   const parts = new Map<string, number>();
   let total = 0;
-  for (const weight of weights) {
-    total += weight.total;
-    for (const [endpoint, part] of weight.parts) {
+  for (const ratio of ratios) {
+    total += ratio.total;
+    for (const [endpoint, part] of ratio.parts) {
       parts.set(endpoint, (parts.get(endpoint) ?? 0) + part);
     }
   }
   return {total, parts};
 }
 
-function isBad({total, parts}: Weight, margin: number): boolean {
+function isBad({total, parts}: LogRatio, margin: number): boolean {
   if (total < BAD_AT + margin) return false;
   if (parts.size <= 1) return total >= BAD_AT_ALONE + margin;
   const withoutWorst = total - Math.max(...parts.values());
--- a/packages/decisions/src/store_readers.ts
+++ b/packages/decisions/src/store_readers.ts
@@ -34,18 +34,18 @@
   candidates: readonly ReaderCandidate[],
   count: number,
 ): string[] {
-  const placed = candidates.map(({name, incarnation, state, isStoreAway}) => ({
+  const ranked = candidates.map(({name, incarnation, state, isStoreAway}) => ({
     name,
     incarnation,
     faults: (isStoreAway ? AWAY_FAULTS : 0) + (state === 'ready' ? 0 : 1),
-    place: hashText(name),
+    hash: hashText(name),
   }));
-  placed.sort(
+  ranked.sort(
     (a, b) =>
       a.faults - b.faults ||
       a.incarnation - b.incarnation ||
-      a.place - b.place ||
+      a.hash - b.hash ||
       (a.name < b.name ? -1 : 1),
   );
-  return placed.slice(0, count).map(({name}) => name);
+  return ranked.slice(0, count).map(({name}) => name);
 }
--- a/packages/decisions/src/table_replica.ts
+++ b/packages/decisions/src/table_replica.ts
@@ -47,7 +47,7 @@
 
   /** Applies consecutive changes; returns those that changed a value. */
   applyChanges(changes: readonly ReplicaRow[], revision: number): ReplicaRow[] {
-    const news: ReplicaRow[] = [];
+    const applied: ReplicaRow[] = [];
     this.known = Math.max(this.known, revision);
     for (const change of changes) {
       // Later pages of a full read contain changes beyond its revision, but may
@@ -55,10 +55,10 @@
       if (Math.floor(change.revision) <= this.known) {
         this.newestRow = Math.max(this.newestRow, change.revision);
       }
-      if (this.take(change)) news.push(change);
+      if (this.take(change)) applied.push(change);
     }
     this.dropDeleted();
-    return news;
+    return applied;
   }
 
   /**
--- a/packages/decisions/src/update_sources.ts
+++ b/packages/decisions/src/update_sources.ts
@@ -11,7 +11,7 @@
 /** The hosts that announced revisions of a table. */
 export class UpdateSources {
   /** The announced revisions by address, the latest announcement last. */
-  private readonly told = new Map<string, number>();
+  private readonly announced = new Map<string, number>();
 
   /** Tells whether any host announced a revision above the held one. */
   hasUpdate(held: number): boolean {
@@ -20,22 +20,22 @@
 
   /** Records that a host announced changes up to a revision. */
   recordAnnouncement(address: string, revision: number): void {
-    this.told.delete(address);
-    this.told.set(address, revision);
-    const [first] = this.told.keys();
-    if (this.told.size > MAX_SOURCES && first !== undefined) {
-      this.told.delete(first);
+    this.announced.delete(address);
+    this.announced.set(address, revision);
+    const [first] = this.announced.keys();
+    if (this.announced.size > MAX_SOURCES && first !== undefined) {
+      this.announced.delete(first);
     }
   }
 
   /** Returns the revision that a host announced; 0 without one. */
   getAnnounced(address: string): number {
-    return this.told.get(address) ?? 0;
+    return this.announced.get(address) ?? 0;
   }
 
   /** Drops the announcement of a host that was asked for this revision. */
   drop(address: string, revision: number): void {
-    if (this.getAnnounced(address) <= revision) this.told.delete(address);
+    if (this.getAnnounced(address) <= revision) this.announced.delete(address);
   }
 
   /**
@@ -46,7 +46,7 @@
    */
   choose(held: number, asked: ReadonlySet<string>): string | undefined {
     let chosen: string | undefined;
-    for (const [address, revision] of this.told) {
+    for (const [address, revision] of this.announced) {
       if (revision > held && !asked.has(address)) chosen = address;
     }
     return chosen;
--- a/packages/decisions/src/watch_targets.ts
+++ b/packages/decisions/src/watch_targets.ts
@@ -2,7 +2,7 @@
  * Chooses which hosts a host monitors. In a small deployment each host monitors
  * all others. In a large one, hosts are ordered on a hash ring, and each
  * monitors the hosts at a few fixed distances from itself. Thus each host has
- * as many monitors as it monitors hosts, news reach all hosts in a few hops,
+ * as many monitors as it monitors hosts, records reach all hosts in a few hops,
  * and the cost per host doesn't grow with the deployment. See
  * docs/design/membership.md.
  */
@@ -34,7 +34,7 @@
 
 /** Sorts hosts by hash, computing it once for each host. */
 function sortOnRing(hosts: Iterable<string>): string[] {
-  const places = [...hosts].map((host) => ({host, place: hashText(host)}));
-  places.sort((a, b) => a.place - b.place || (a.host < b.host ? -1 : 1));
-  return places.map(({host}) => host);
+  const hashed = [...hosts].map((host) => ({host, hash: hashText(host)}));
+  hashed.sort((a, b) => a.hash - b.hash || (a.host < b.host ? -1 : 1));
+  return hashed.map(({host}) => host);
 }
--- a/packages/decisions/src/windowed_retry_budget.ts
+++ b/packages/decisions/src/windowed_retry_budget.ts
@@ -36,10 +36,10 @@
   /** Takes one retry; false when this host's share is used up. */
   takeRetry(nowMs: number, hosts: number): boolean {
     this.dropOld(nowMs);
-    const {ratio, allowance, usedFraction: usedPart} = this.options;
+    const {ratio, allowance, usedFraction} = this.options;
     const share = allowance / Math.max(1, hosts);
-    const most = usedPart * (ratio * this.requests.length + share);
-    if (this.retries.length + 1 > most) return false;
+    const max = usedFraction * (ratio * this.requests.length + share);
+    if (this.retries.length + 1 > max) return false;
     this.retries.push(nowMs);
     return true;
   }
--- a/packages/decisions/tests/cached_prompt.test.ts
+++ b/packages/decisions/tests/cached_prompt.test.ts
@@ -1,4 +1,4 @@
-/** How much of a prompt an engine keeps. */
+/** Tests of how much of a prompt an engine has cached. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {computeCachedTokens} from '@irisdock/decisions';
@@ -9,12 +9,12 @@
   {id: 'own', tokens: 5000},
 ];
 
-describe('the tokens of a prompt that are kept', () => {
+describe('computeCachedTokens', () => {
   const cases: readonly [string, readonly [string, number][], number][] = [
-    ['nothing', [], 0],
+    ['an empty cache', [], 0],
     ['another prompt', [['other', 5000]], 0],
     [
-      'all of it',
+      'the full prompt',
       [
         ['shared', 200],
         ['more', 300],
@@ -23,7 +23,7 @@
       5500,
     ],
     [
-      'a last part that is cut',
+      'a truncated last part',
       [
         ['shared', 200],
         ['more', 300],
@@ -32,7 +32,7 @@
       5492,
     ],
     [
-      'a middle part that is cut',
+      'a truncated middle part',
       [
         ['shared', 200],
         ['more', 100],
@@ -40,12 +40,12 @@
       ],
       300,
     ],
-    ['no first part', [['own', 5000]], 0],
-    ['more than was asked for', [['shared', 900]], 200],
+    ['a missing first part', [['own', 5000]], 0],
+    ['a first part that is cached longer', [['shared', 900]], 200],
   ];
-  for (const [what, kept, tokens] of cases) {
-    it(`are ${tokens} of ${what}`, () => {
-      assert.equal(computeCachedTokens(PROMPT, new Map(kept)), tokens);
+  for (const [what, cached, tokens] of cases) {
+    it(`returns ${tokens} for ${what}`, () => {
+      assert.equal(computeCachedTokens(PROMPT, new Map(cached)), tokens);
     });
   }
 });
--- a/packages/decisions/tests/endpoint_limits.test.ts
+++ b/packages/decisions/tests/endpoint_limits.test.ts
@@ -1,4 +1,4 @@
-/** Limits that endpoints name: what is believed, and who hands out permits. */
+/** Tests of advertised limits, the permits for them and their issuers. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import * as fc from 'fast-check';
@@ -17,12 +17,12 @@
 
 const WINDOW_MS = 4000;
 
-/** What may come in a window, by the aim: half over the limit, and five. */
+/** Computes the most sends allowed in a window: 1.5 times the limit plus 5. */
 function computeAllowed(perSecond: number): number {
   return (1.5 * perSecond * WINDOW_MS) / 1000 + 5;
 }
 
-/** The most of these that fall into one window, counted one by one. */
+/** Counts the most times that fall into one window. */
 function countWorst(times: readonly number[]): number {
   let worst = 0;
   for (const from of times) {
@@ -46,39 +46,39 @@
   {maxLength: 120},
 );
 
-describe('a bucket of permits', () => {
-  it('keeps the bound whatever is asked of it and when', () => {
+describe('PermitBucket', () => {
+  it('keeps the bound whatever is requested and when', () => {
     fc.assert(
       fc.property(RATES, STEPS, (perSecond, steps) => {
         const bucket = new PermitBucket(0);
-        const given: number[] = [];
+        const grantedAt: number[] = [];
         let now = 0;
         for (const {pauseMs, ...wanted} of steps) {
           now += pauseMs;
           const {granted} = bucket.take(wanted, perSecond, now);
           const count = granted.begun + granted.usual + granted.aside;
-          for (let one = 0; one < count; one++) given.push(now);
+          for (let one = 0; one < count; one++) grantedAt.push(now);
         }
-        return countWorst(given) <= computeAllowed(perSecond);
+        return countWorst(grantedAt) <= computeAllowed(perSecond);
       }),
       RUN_OPTIONS,
     );
   });
 
-  it('gives nearly all of the limit where more is asked', () => {
+  it('grants nearly the full limit if more is requested', () => {
     for (const perSecond of [0.2, 3.1, 50, 1000]) {
       const bucket = new PermitBucket(0);
       const seconds = 40;
-      let given = 0;
+      let sum = 0;
       for (let now = 0; now < seconds * 1000; now += 7) {
         const wanted = {...NO_SENDS, usual: 9};
-        given += bucket.take(wanted, perSecond, now).granted.usual;
+        sum += bucket.take(wanted, perSecond, now).granted.usual;
       }
-      assert.ok(given >= Math.floor(0.97 * perSecond * seconds), `${given}`);
+      assert.ok(sum >= Math.floor(0.97 * perSecond * seconds), `${sum}`);
     }
   });
 
-  it('gives begun answers first, and what can wait last', () => {
+  it('serves begun answers first, and work that can wait last', () => {
     const bucket = new PermitBucket(0);
     const wanted = {begun: 1, usual: 1, aside: 1};
     assert.deepEqual(bucket.take(wanted, 1, 0).granted, {
@@ -92,29 +92,32 @@
       aside: 0,
     });
     assert.equal(bucket.take(NO_SENDS, 1, 3000).waitMs, 1000);
-    const rested = bucket.take({...NO_SENDS, aside: 1}, 1, 60_000);
-    assert.equal(rested.granted.aside, 1);
+    const afterPause = bucket.take({...NO_SENDS, aside: 1}, 1, 60_000);
+    assert.equal(afterPause.granted.aside, 1);
   });
 
-  it('follows a limit that changes, and a clock that stood still', () => {
+  it('follows a changing limit, and a clock that stops', () => {
     const bucket = new PermitBucket(0);
     const wanted = {...NO_SENDS, usual: 1000};
     bucket.take(wanted, 1000, 5000);
-    // What gathered under the higher limit is no longer there to be given.
+    // Permits accumulated at the higher rate are not granted at the lower one.
     assert.ok(bucket.take(wanted, 1000, 5200).granted.usual <= 202);
     assert.ok(bucket.take(wanted, 1, 5400).granted.usual <= 3);
     assert.equal(bucket.take(wanted, 1, 5000).granted.usual, 0);
   });
 });
 
-/** An endpoint that names a limit now and then, and answers that overlap. */
-interface Answer {
+/** The times of a request and its response. */
+interface Exchange {
+  /** When the request was sent. */
   readonly sentAt: number;
+  /** When the endpoint created the response. */
   readonly madeAt: number;
+  /** When the response arrived. */
   readonly arrivedAt: number;
 }
 
-const ANSWERS = fc.array(
+const EXCHANGES = fc.array(
   fc
     .record({
       sentAt: fc.integer({min: 0, max: 10_000}),
@@ -128,38 +131,39 @@
     })),
   {minLength: 1, maxLength: 40},
 );
+/** When the endpoint starts or stops advertising its limit, alternately. */
 const CHANGES = fc.array(fc.integer({min: 0, max: 10_000}), {maxLength: 4});
 
-describe('what is believed of a limit', () => {
-  it('is what the endpoint says once it is asked after a change', () => {
+describe('the known limit of an endpoint', () => {
+  it('is the advertised one after a request that follows a change', () => {
     fc.assert(
-      fc.property(ANSWERS, CHANGES, (answers, changes) => {
-        const isNamedAt = (at: number): boolean =>
+      fc.property(EXCHANGES, CHANGES, (exchanges, changes) => {
+        const isLimitedAt = (at: number): boolean =>
           changes.filter((change) => change <= at).length % 2 === 1;
         const settledAt = Math.max(0, ...changes);
-        const ask = 20_000;
-        const last = {sentAt: ask, madeAt: ask + 5, arrivedAt: ask + 10};
-        let word: LimitReport | undefined;
-        const all: Answer[] = [...answers, last];
+        const sent = 20_000;
+        const last = {sentAt: sent, madeAt: sent + 5, arrivedAt: sent + 10};
+        let known: LimitReport | undefined;
+        const all: Exchange[] = [...exchanges, last];
         all.sort((a, b) => a.arrivedAt - b.arrivedAt);
-        const isNamed = isNamedAt(settledAt);
-        let isTold = false;
+        const isLimited = isLimitedAt(settledAt);
+        let isReported = false;
         for (const {sentAt, madeAt, arrivedAt} of all) {
-          const next: LimitReport = isNamedAt(madeAt)
+          const next: LimitReport = isLimitedAt(madeAt)
             ? {perSecond: 3, at: arrivedAt}
             : {perSecond: undefined, at: sentAt};
-          if (isNewerReport(next, word)) word = next;
-          // Once it was named for good, no late answer of before ends it.
-          isTold ||= isNamed && madeAt >= settledAt;
-          if (isTold) assert.equal(word?.perSecond, 3);
+          if (isNewerReport(next, known)) known = next;
+          // After the last change, no late response without a limit lifts it.
+          isReported ||= isLimited && madeAt >= settledAt;
+          if (isReported) assert.equal(known?.perSecond, 3);
         }
-        return (word?.perSecond !== undefined) === isNamed;
+        return (known?.perSecond !== undefined) === isLimited;
       }),
       RUN_OPTIONS,
     );
   });
 
-  it('is never without bound, and shuts no endpoint out for good', () => {
+  it('is always finite and above 0', () => {
     const unreadable = {kind: 'unreadable'} as const;
     assert.equal(
       computeEnforcedRate({kind: 'rate', perSecond: 3.4}, undefined),
@@ -181,8 +185,8 @@
   return Array.from({length: count}, (_, one) => `host-${one}`);
 }
 
-describe('the host that hands out permits', () => {
-  it('is the same for all, and another for few when a host goes', () => {
+describe('the issuer of permits', () => {
+  it('is the same for all hosts, and changes for few when a host goes', () => {
     const names = createNames(60);
     const endpoints = Array.from({length: 500}, (_, one) => `i-${one}`);
     const load = new Map<string, number>();
@@ -198,14 +202,14 @@
     assert.ok(Math.max(...load.values()) < 30);
   });
 
-  it('gives none while it has just started', () => {
+  it('grants nothing while it has just started', () => {
     const issuers = new PermitIssuers('host-0', 0);
     issuers.update({names: ['host-0'], possiblyAlive: 1});
     assert.equal(issuers.computeShare('i-1', 3, 1000), 0);
     assert.equal(issuers.computeShare('i-1', 3, 2500), 1);
   });
 
-  it('gives no more than a quarter over the limit on both sides of a cut', () => {
+  it('grants 1.25 times the limit at most on both sides of a partition', () => {
     fc.assert(
       fc.property(
         fc.integer({min: 1, max: 40}),
@@ -229,7 +233,7 @@
     );
   });
 
-  it('is one of several where the limit is high', () => {
+  it('is one of several if the limit is high', () => {
     const names = createNames(350);
     const issuers = new PermitIssuers('host-0', 0);
     issuers.update({names, possiblyAlive: 350});
@@ -241,28 +245,28 @@
     assert.equal(issuers.countIssuers(3), 1);
   });
 
-  it('is nobody where no host stays', () => {
+  it('is undefined if all hosts are leaving', () => {
     const issuers = new PermitIssuers('host-0', 0);
     assert.equal(issuers.findIssuer('i-1', 3), undefined);
     assert.equal(issuers.computeShare('i-1', 3, 10_000), 0);
   });
 });
 
-describe('callers that found a limit used up', () => {
-  it('come back one by one at its rate, in the order they were told', () => {
-    const queue = new RetrySchedule();
-    const told: number[] = [];
+describe('requests refused because a limit is used up', () => {
+  it('are retried one by one at its rate, in the order of refusal', () => {
+    const schedule = new RetrySchedule();
+    const delays: number[] = [];
     for (let caller = 0; caller < 5; caller++) {
-      queue.add(1, 2, 1000);
-      told.push(queue.computeLastDelayMs(1000));
+      schedule.add(1, 2, 1000);
+      delays.push(schedule.computeLastDelayMs(1000));
     }
-    assert.deepEqual(told, [500, 1000, 1500, 2000, 2500]);
-    assert.equal(queue.computeLastDelayMs(9000), 0);
-    queue.add(100, 0.2, 9000);
-    assert.equal(queue.computeLastDelayMs(9000), 10_000);
+    assert.deepEqual(delays, [500, 1000, 1500, 2000, 2500]);
+    assert.equal(schedule.computeLastDelayMs(9000), 0);
+    schedule.add(100, 0.2, 9000);
+    assert.equal(schedule.computeLastDelayMs(9000), 10_000);
   });
 
-  it('are asked for less often by each host, the more hosts ask', () => {
+  it('make each host ask for permits less often, the more hosts ask', () => {
     assert.equal(computePauseMs(2, 3, 100), 100);
     assert.equal(computePauseMs(2, 0.2, 4000), 250);
     assert.equal(computePauseMs(350, 3, 100), 7000);
--- a/packages/decisions/tests/gateway_limits.test.ts
+++ b/packages/decisions/tests/gateway_limits.test.ts
@@ -1,4 +1,4 @@
-/** Budgets of repeated sends, departures, and hosts that are heard. */
+/** Tests of retry budgets, departure delays and the choice of store readers. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
@@ -13,29 +13,29 @@
 const WINDOW_MS = 1000;
 const BUDGET = {windowMs: WINDOW_MS, ratio: 0.5, allowance: 6, usedFraction: 1};
 
-describe('a windowed budget', () => {
+describe('WindowedRetryBudget', () => {
   it('stays within its bound in every window', () => {
     const steps = fc.array(
-      fc.record({waitMs: fc.nat(300), isRepeat: fc.boolean()}),
+      fc.record({waitMs: fc.nat(300), isRetry: fc.boolean()}),
       {maxLength: 80},
     );
     fc.assert(
       fc.property(steps, fc.integer({min: 1, max: 4}), (list, hosts) => {
         const budget = new WindowedRetryBudget(BUDGET);
         const requests: number[] = [];
-        const repeats: number[] = [];
+        const retries: number[] = [];
         let now = 0;
-        for (const {waitMs, isRepeat} of list) {
+        for (const {waitMs, isRetry} of list) {
           now += waitMs;
-          if (isRepeat) {
-            if (budget.takeRetry(now, hosts)) repeats.push(now);
+          if (isRetry) {
+            if (budget.takeRetry(now, hosts)) retries.push(now);
           } else {
             budget.addRequest(now);
             requests.push(now);
           }
           const from = now - WINDOW_MS;
-          const inWindow = repeats.filter((at) => at >= from).length;
-          // Requests of this window and the one before it count.
+          const inWindow = retries.filter((at) => at >= from).length;
+          // Retries may have been earned in the window before this one.
           const wide = requests.filter((at) => at >= from - WINDOW_MS).length;
           assert.ok(inWindow <= 0.5 * wide + 6 / hosts);
         }
@@ -44,7 +44,7 @@
     );
   });
 
-  it('is whole again after a window', () => {
+  it('is fully available again after a window', () => {
     const budget = new WindowedRetryBudget(BUDGET);
     for (let at = 0; at < 6; at++) assert.equal(budget.takeRetry(0, 1), true);
     assert.equal(budget.takeRetry(0, 1), false);
@@ -52,8 +52,8 @@
   });
 });
 
-describe('the contact with the store', () => {
-  it('delays departures while the store is away and a while after', () => {
+describe('StoreContact', () => {
+  it('delays departures during and shortly after an outage of the store', () => {
     const contact = new StoreContact();
     contact.recordAnswer(0);
     assert.equal(contact.getDepartureDelay(10), 0);
@@ -78,14 +78,14 @@
     return chooseStoreReaders(candidates, 2);
   }
 
-  it('are replaced by the next when the store turns them away', () => {
+  it('are replaced by the next host if the store rejects them', () => {
     const [one = '', two = ''] = choose([]);
     const after = choose([one]);
     assert.equal(after[0], two);
     assert.notEqual(after[1], one);
   });
 
-  it('are hosts that have a copy and stay, where there are enough', () => {
+  it('are hosts that have a copy and stay, if there are enough', () => {
     const states = [
       'starting',
       'leaving',
@@ -100,7 +100,7 @@
       isStoreAway: false,
     }));
     assert.deepEqual(chooseStoreReaders(candidates, 2).sort(), ['c', 'd']);
-    // A host that the store turns away is of less use than one that starts.
+    // A host that the store rejects ranks below one that is starting.
     const away = candidates.map((one) => ({
       ...one,
       isStoreAway: one.name < 'e',
@@ -108,7 +108,7 @@
     assert.equal(chooseStoreReaders(away, 1)[0], 'e');
   });
 
-  // Guards against reads of the store by each host that starts in turn.
+  // Guards against each of many starting hosts becoming a reader in turn.
   it('are not replaced by hosts that start later', () => {
     const candidates = hosts.map((name, at) => ({
       name,
@@ -125,7 +125,7 @@
     }
   });
 
-  it('are as many when the store turns all away', () => {
+  it('are as many if the store rejects all hosts', () => {
     assert.deepEqual(choose(hosts), choose([]));
   });
 });
--- a/packages/decisions/tests/leaving_hold_down.test.ts
+++ b/packages/decisions/tests/leaving_hold_down.test.ts
@@ -1,4 +1,4 @@
-/** A list that contradicts itself sends no work to who leaves. */
+/** Tests that a contradictory host list sends no work to leaving hosts. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {LeavingHoldDown, type ListedAddress} from '@irisdock/decisions';
@@ -14,21 +14,21 @@
   return {address, state};
 }
 
-describe('LeavingMemory', () => {
+describe('LeavingHoldDown', () => {
   const cases: readonly {
     name: string;
-    /** Lists and when they are read. */
+    /** The times at which lists are read, and the states in them. */
     reads: readonly (readonly [number, readonly ListedAddress['state'][]])[];
     want: ListedAddress['state'] | undefined;
   }[] = [
-    {name: 'takes a host as it is', reads: [[0, ['live']]], want: 'live'},
+    {name: 'keeps the listed state', reads: [[0, ['live']]], want: 'live'},
     {
-      name: 'takes leaving first, however often a host is named',
+      name: 'prefers leaving if a host is listed twice',
       reads: [[0, ['leaving', 'live']]],
       want: 'leaving',
     },
     {
-      name: 'keeps it leaving when an older copy is read',
+      name: 'holds the leaving state when an older replica is read',
       reads: [
         [0, ['leaving']],
         [HOLD_MS, ['live']],
@@ -36,7 +36,7 @@
       want: 'leaving',
     },
     {
-      name: 'takes it back when it stays live',
+      name: 'returns to live after the hold-down time',
       reads: [
         [0, ['leaving']],
         [HOLD_MS + 1, ['live']],
@@ -44,7 +44,7 @@
       want: 'live',
     },
     {
-      name: 'counts from the last time it was seen leaving',
+      name: 'restarts the hold-down time when seen leaving again',
       reads: [
         [0, ['leaving']],
         [4000, ['leaving']],
@@ -53,7 +53,7 @@
       want: 'leaving',
     },
     {
-      name: 'invents no host',
+      name: 'adds no host that is no longer listed',
       reads: [
         [0, ['leaving']],
         [100, []],
@@ -63,10 +63,10 @@
   ];
   for (const {name, reads, want} of cases) {
     it(name, () => {
-      const memory = new LeavingHoldDown<ListedAddress>(HOLD_MS);
+      const holdDown = new LeavingHoldDown<ListedAddress>(HOLD_MS);
       let last: ListedAddress[] = [];
       for (const [at, states] of reads) {
-        last = memory.apply(
+        last = holdDown.apply(
           states.map((state) => createHost(state)),
           at,
         );
@@ -76,15 +76,15 @@
     });
   }
 
-  it('gives the same for a list in any order', () => {
+  it('returns the same states for any order of the list', () => {
     const host = fc.record({
       address: fc.constantFrom('a', 'b', 'c'),
       state: fc.constantFrom<ListedAddress['state']>('live', 'leaving'),
     });
     fc.assert(
       fc.property(fc.array(host, {maxLength: 8}), fc.nat(), (list, turn) => {
-        const turned = list.map((_, at) => list[(at + turn) % list.length]);
-        const given = turned.filter((each) => each !== undefined);
+        const rotated = list.map((_, at) => list[(at + turn) % list.length]);
+        const given = rotated.filter((each) => each !== undefined);
         const [one, other] = [list, given].map((each) => {
           const merged = new LeavingHoldDown<ListedAddress>(0).apply(each, 0);
           return merged.map((h) => `${h.address} ${h.state}`).sort();
--- a/packages/decisions/tests/limit_strategies.test.ts
+++ b/packages/decisions/tests/limit_strategies.test.ts
@@ -1,7 +1,7 @@
 /**
- * The ways to keep a limit over many hosts, on the same seeds: one host that hands
- * out permits keeps the bound and uses the limit at any size; even parts and parts
- * by told demand do not.
+ * Compares strategies of enforcing a rate limit over many hosts, on the same
+ * seeds. Permits from one issuer keep the bound and use the limit at any number
+ * of hosts; even shares and shares by demand don't.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
@@ -20,14 +20,16 @@
 
 const SEEDS = [1, 2, 3];
 
-type CreateWay = (world: LimitEnvironment) => LimitStrategy;
+type CreateStrategy = (environment: LimitEnvironment) => LimitStrategy;
 
-const createIssuer: CreateWay = (world) => new IssuerStrategy(world);
+const createIssuer: CreateStrategy = (environment) =>
+  new IssuerStrategy(environment);
 
-function runPlays(
+/** Simulates a strategy on all seeds. */
+function runSeeds(
   hosts: number,
   perSecond: number,
-  createWay: CreateWay,
+  createStrategy: CreateStrategy,
   faults: readonly LimitFault[] = [],
 ): LimitResult[] {
   return SEEDS.map((seed) => {
@@ -40,7 +42,7 @@
       busyHosts: Math.ceil(hosts / 10),
       faults,
     });
-    return simulation.run(createWay);
+    return simulation.run(createStrategy);
   });
 }
 
@@ -48,25 +50,25 @@
   return worst > allowed;
 }
 
-describe('permits from one host', () => {
+describe('permits from one issuer', () => {
   for (const [hosts, leastUsed] of [
     [9, 0.9],
     [60, 0.85],
     [350, 0.8],
   ] as const) {
-    it(`keep and use limits of any height over ${hosts} hosts`, () => {
+    it(`keep and use limits of any rate over ${hosts} hosts`, () => {
       for (const perSecond of [3.1, 50, 400]) {
-        for (const result of runPlays(hosts, perSecond, createIssuer)) {
+        for (const result of runSeeds(hosts, perSecond, createIssuer)) {
           assert.ok(!isBroken(result), JSON.stringify(result));
           assert.ok(result.usedFraction >= leastUsed, JSON.stringify(result));
         }
       }
-      for (const result of runPlays(hosts, 0.2, createIssuer)) {
+      for (const result of runSeeds(hosts, 0.2, createIssuer)) {
         assert.ok(!isBroken(result) && result.usedFraction > 0);
       }
     });
 
-    it(`keep the bound over ${hosts} hosts that are lost and cut off`, () => {
+    it(`keep the bound over ${hosts} hosts despite losses and a cut`, () => {
       const faults: LimitFault[] = [
         {atMs: 5000, kind: 'kill-issuer'},
         {atMs: 7000, kind: 'kill-issuer'},
@@ -74,7 +76,7 @@
         {atMs: 13_000, kind: 'heal'},
       ];
       for (const perSecond of [0.2, 3.1, 50]) {
-        for (const result of runPlays(hosts, perSecond, createIssuer, faults)) {
+        for (const result of runSeeds(hosts, perSecond, createIssuer, faults)) {
           assert.ok(!isBroken(result), JSON.stringify(result));
         }
       }
@@ -82,18 +84,20 @@
   }
 });
 
-describe('the ways that were weighed', () => {
-  it('even parts break the bound at 60 hosts and use two thirds', () => {
-    const createWay: CreateWay = (world) => new EvenShareStrategy(world);
-    assert.ok(runPlays(60, 3.1, createWay).some(isBroken));
-    for (const {usedFraction: usedPart} of runPlays(9, 50, createWay)) {
-      assert.ok(usedPart < 0.8);
+describe('the alternatives', () => {
+  it('even shares break the bound at 60 hosts and use two thirds', () => {
+    const createEven: CreateStrategy = (environment) =>
+      new EvenShareStrategy(environment);
+    assert.ok(runSeeds(60, 3.1, createEven).some(isBroken));
+    for (const {usedFraction} of runSeeds(9, 50, createEven)) {
+      assert.ok(usedFraction < 0.8);
     }
   });
 
-  it('parts by told demand break it at 60 and 350 hosts', () => {
-    const createWay: CreateWay = (world) => new DemandShareStrategy(world);
-    assert.ok(runPlays(60, 3.1, createWay).every(isBroken));
-    assert.ok(runPlays(350, 3.1, createWay).every(isBroken));
+  it('shares by demand break it at 60 and 350 hosts', () => {
+    const createDemand: CreateStrategy = (environment) =>
+      new DemandShareStrategy(environment);
+    assert.ok(runSeeds(60, 3.1, createDemand).every(isBroken));
+    assert.ok(runSeeds(350, 3.1, createDemand).every(isBroken));
   });
 });
--- a/packages/decisions/tests/limits.test.ts
+++ b/packages/decisions/tests/limits.test.ts
@@ -1,4 +1,7 @@
-/** Limits in time: stalls, leases, retries, waits; and what is told when. */
+/**
+ * Tests of gap statistics, leases, retry budgets, wait estimates, addresses for
+ * callers, planned orders and duty hosts.
+ */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {SeededRandom} from '@irisdock/kernel';
@@ -21,7 +24,7 @@
 import {RUN_OPTIONS} from './run_options.js';
 
 describe('GapStatistics', () => {
-  it('is at its most patient before it knows anything', () => {
+  it('returns the longest limits before the first gap', () => {
     const limits = new GapStatistics().getLimits(DEFAULT_STALL_BOUNDS);
     assert.equal(limits.probeMs, DEFAULT_STALL_BOUNDS.maxProbeMs);
     assert.equal(limits.lostMs, DEFAULT_STALL_BOUNDS.maxLostMs);
@@ -42,33 +45,40 @@
     );
   });
 
-  it('asks fast engines sooner than slow ones', () => {
-    const [fast, slow] = [20, 90].map((usual) => {
+  it('probes fast engines no later than slow ones', () => {
+    const [fast, slow] = [20, 90].map((gapMs) => {
       const statistics = new GapStatistics();
-      for (let at = 0; at < 500; at++) statistics.record(usual + (at % 5));
+      for (let at = 0; at < 500; at++) statistics.record(gapMs + (at % 5));
       return statistics.getLimits(DEFAULT_STALL_BOUNDS).probeMs;
     });
     assert.ok((fast ?? 0) <= (slow ?? 0));
   });
 });
 
-/** Two hosts and one lease row, on clocks that may stand still. */
-class LeasePlay {
+/** Simulates two hosts that compete for one lease row. */
+class LeaseSimulation {
   row: LeaseRow | undefined;
   readonly hosts = ['a', 'b'].map((name) => ({
     state: new LeaseState(name, DEFAULT_LEASE_TIMINGS),
     clock: 0,
   }));
 
-  takeTurn(at: number, loses: boolean): void {
-    const host = this.hosts[at];
+  /**
+   * Lets a host take its next step.
+   *
+   * @param index The host's index.
+   * @param isAnswerLost Whether the host doesn't learn that its write took
+   *     effect.
+   */
+  takeTurn(index: number, isAnswerLost: boolean): void {
+    const host = this.hosts[index];
     if (host === undefined) return;
     const read = this.row;
     const step = host.state.decide(read, host.clock);
     if (step.step === 'wait') return;
     if (this.row !== read) return;
     this.row = step.row;
-    if (!loses) host.state.recordWrite(step.row, host.clock);
+    if (!isAnswerLost) host.state.recordWrite(step.row, host.clock);
   }
 
   listFences(): number[] {
@@ -81,36 +91,36 @@
 describe('LeaseState', () => {
   const turns = fc.array(
     fc.record({
-      passes: fc.nat(4000),
+      elapsedMs: fc.nat(4000),
       host: fc.nat(1),
-      loses: fc.boolean(),
+      isAnswerLost: fc.boolean(),
     }),
     {maxLength: 60},
   );
 
-  it('has one holder at a time, also when answers are lost', () => {
+  it('has one holder at a time, even if write answers are lost', () => {
     fc.assert(
       fc.property(turns, (list) => {
-        const play = new LeasePlay();
-        for (const {passes, host, loses} of list) {
-          for (const each of play.hosts) each.clock += passes;
-          play.takeTurn(host, loses);
-          assert.ok(play.listFences().length <= 1);
+        const simulation = new LeaseSimulation();
+        for (const {elapsedMs, host, isAnswerLost} of list) {
+          for (const each of simulation.hosts) each.clock += elapsedMs;
+          simulation.takeTurn(host, isAnswerLost);
+          assert.ok(simulation.listFences().length <= 1);
         }
       }),
       RUN_OPTIONS,
     );
   });
 
-  it('gives every holder a higher number', () => {
+  it('never lowers the fencing token', () => {
     fc.assert(
       fc.property(turns, (list) => {
-        const play = new LeasePlay();
+        const simulation = new LeaseSimulation();
         let highest = 0;
-        for (const {passes, host, loses} of list) {
-          for (const each of play.hosts) each.clock += passes;
-          play.takeTurn(host, loses);
-          const fence = play.row?.fence ?? 0;
+        for (const {elapsedMs, host, isAnswerLost} of list) {
+          for (const each of simulation.hosts) each.clock += elapsedMs;
+          simulation.takeTurn(host, isAnswerLost);
+          const fence = simulation.row?.fence ?? 0;
           assert.ok(fence >= highest);
           highest = fence;
         }
@@ -119,20 +129,20 @@
     );
   });
 
-  it('passes from a dead holder to the next', () => {
-    const play = new LeasePlay();
-    play.takeTurn(0, false);
+  it('passes from a dead holder to another host', () => {
+    const simulation = new LeaseSimulation();
+    simulation.takeTurn(0, false);
     for (let at = 0; at < 20; at++) {
-      for (const each of play.hosts) each.clock += 1000;
-      play.takeTurn(1, false);
+      for (const each of simulation.hosts) each.clock += 1000;
+      simulation.takeTurn(1, false);
     }
-    assert.equal(play.row?.holder, 'b');
-    assert.equal(play.row.fence, 2);
+    assert.equal(simulation.row?.holder, 'b');
+    assert.equal(simulation.row.fence, 2);
   });
 });
 
 describe('RetryBudget', () => {
-  it('lets through a part of the tries', () => {
+  it('limits retries to a fraction of the first attempts', () => {
     const options = {
       retriesPerRequest: 0.2,
       maxRetries: 100,
@@ -144,11 +154,11 @@
       budget.addFirstAttempt();
       if (budget.takeRetry(0)) retries++;
     }
-    // A fifth of the tries, and what it has at the start.
+    // A fifth of the first attempts, plus the initial budget.
     assert.ok(retries >= 200 && retries <= 211, String(retries));
   });
 
-  it('lets a quiet host retry', () => {
+  it('lets a host without requests retry', () => {
     const options = {
       retriesPerRequest: 0,
       maxRetries: 10,
@@ -162,11 +172,11 @@
 });
 
 describe('WaitEstimate', () => {
-  it('knows nothing before the first departure', () => {
+  it('has no estimate before the first departure', () => {
     assert.equal(new WaitEstimate().getWaitMs(5, 0), undefined);
   });
 
-  it('follows the pace, and a pause', () => {
+  it('follows the rate of departures, and pauses', () => {
     const estimate = new WaitEstimate();
     estimate.startBusy(0);
     for (let now = 100; now <= 5000; now += 100) estimate.recordDequeue(now);
@@ -174,7 +184,7 @@
     assert.ok((estimate.getWaitMs(10, 8000) ?? 0) > 5000);
   });
 
-  it('does not count time in which nobody waited', () => {
+  it('ignores time in which no request waited', () => {
     const estimate = new WaitEstimate();
     estimate.startBusy(0);
     estimate.recordDequeue(100);
@@ -183,16 +193,20 @@
   });
 });
 
-describe('computeRetryAfter', () => {
-  it('is a whole number from 1 to 60 for any wait', () => {
+describe('computeRetryAfterSeconds', () => {
+  it('returns an integer from 1 to 60 for any wait', () => {
     const waits = fc.oneof(fc.double({min: 0}), fc.constant(Infinity));
     fc.assert(
-      fc.property(waits, fc.double({min: 0, max: 1, noNaN: true}), (ms, at) => {
-        if (Number.isNaN(ms)) return;
-        const seconds = computeRetryAfterSeconds(ms, at);
-        assert.ok(Number.isInteger(seconds));
-        assert.ok(seconds >= 1 && seconds <= 60);
-      }),
+      fc.property(
+        waits,
+        fc.double({min: 0, max: 1, noNaN: true}),
+        (ms, spread) => {
+          if (Number.isNaN(ms)) return;
+          const seconds = computeRetryAfterSeconds(ms, spread);
+          assert.ok(Number.isInteger(seconds));
+          assert.ok(seconds >= 1 && seconds <= 60);
+        },
+      ),
       RUN_OPTIONS,
     );
   });
@@ -235,7 +249,7 @@
 });
 
 describe('planOrders', () => {
-  function createWanted(change: Partial<DesiredLoads> = {}): DesiredLoads {
+  function createDesired(change: Partial<DesiredLoads> = {}): DesiredLoads {
     const endpoints = ['e1', 'e2', 'e3'].map((address) => ({
       address,
       models: [] as string[],
@@ -252,36 +266,36 @@
     };
   }
 
-  it('keeps to the number of loads', () => {
-    assert.equal(planOrders([createWanted()], 2).length, 2);
+  it('plans no more loads than allowed', () => {
+    assert.equal(planOrders([createDesired()], 2).length, 2);
   });
 
-  it('serves first what requests wait for', () => {
-    const busy = createWanted({service: 'busy', models: ['n'], demand: 50});
-    const orders = planOrders([createWanted(), busy], 1);
+  it('plans loads of the service with the highest demand first', () => {
+    const busy = createDesired({service: 'busy', models: ['n'], demand: 50});
+    const orders = planOrders([createDesired(), busy], 1);
     assert.equal(orders[0]?.target, 'n');
   });
 
-  it('loads as many as are wanted, on those that have it first', () => {
+  it('loads the declared replicas, counting endpoints that are ready', () => {
     const endpoints = ['e1', 'e2', 'e3'].map((address) => ({
       address,
       models: address === 'e3' ? ['m'] : [],
       adapters: [],
     }));
-    const orders = planOrders([createWanted({replicas: 2, endpoints})], 9);
+    const orders = planOrders([createDesired({replicas: 2, endpoints})], 9);
     assert.deepEqual(
       orders.map((order) => order.address),
       ['e1'],
     );
   });
 
-  it('comes to rest where everything is as wanted', () => {
+  it('converges to the declared loads', () => {
     const start = fc.array(fc.subarray(['m', 'n', 'o']), {maxLength: 5});
     fc.assert(
       fc.property(start, fc.nat(5), (models, replicas) => {
         const loaded = models.map((list) => new Set(list));
         const createNow = (): DesiredLoads =>
-          createWanted({
+          createDesired({
             replicas,
             endpoints: loaded.map((set, at) => ({
               address: `e${at}`,
@@ -307,13 +321,13 @@
 });
 
 describe('chooseDutyHosts', () => {
-  it('chooses the same hosts for all, whatever the order', () => {
+  it('chooses the same hosts for any order of the ids', () => {
     const ids = fc.uniqueArray(fc.string(), {maxLength: 20});
     fc.assert(
       fc.property(ids, fc.nat(5), (hostIds, count) => {
         const chosen = chooseDutyHosts('orders', hostIds, count);
-        const turned = chooseDutyHosts('orders', [...hostIds].reverse(), count);
-        assert.deepEqual(chosen, turned);
+        const other = chooseDutyHosts('orders', [...hostIds].reverse(), count);
+        assert.deepEqual(chosen, other);
         assert.equal(chosen.length, Math.min(count, hostIds.length));
       }),
       RUN_OPTIONS,
--- a/packages/decisions/tests/loss_response.test.ts
+++ b/packages/decisions/tests/loss_response.test.ts
@@ -1,4 +1,4 @@
-/** What follows a loss. */
+/** Tests of the decision what to do after a lost stream. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
@@ -39,34 +39,34 @@
   readonly state: Partial<LossState>;
   readonly want: LossResponse;
 }[] = [
-  {name: 'a reset is attached to first', state: {}, want: 'attach'},
+  {name: 'attaches again after a reset', state: {}, want: 'attach'},
   {
-    name: 'a silent engine is left at once',
+    name: 'leaves a silent engine at once',
     state: {loss: 'silent'},
     want: 'continue',
   },
   {
-    name: 'a third attach is not made',
+    name: 'attaches no third time',
     state: {attachAttempts: 2},
     want: 'continue',
   },
   {
-    name: 'what another host took over is abandoned',
+    name: 'abandons a request that another host took over',
     state: {loss: 'superseded', mayContinue: false},
     want: 'abandon',
   },
   {
-    name: 'what may have run and may not continue is given up as unknown',
+    name: 'gives up as unknown what may have run and may not continue',
     state: {loss: 'silent', mayContinue: false},
     want: 'give_up_unknown',
   },
   {
-    name: 'what was refused may go elsewhere though it may not be repeated',
+    name: 'continues a refused request elsewhere though it may not be repeated',
     state: {loss: 'refused', mayHaveRun: false, mayContinue: false},
     want: 'continue',
   },
   {
-    name: 'what never ran is given up as not run',
+    name: 'gives up as not run what never ran',
     state: {loss: 'refused', mayHaveRun: false, hasRetryBudget: false},
     want: 'give_up_not_run',
   },
@@ -79,7 +79,7 @@
     });
   }
 
-  it('never goes on elsewhere with what may have run and must not', () => {
+  it('never continues what may have run and may not continue', () => {
     fc.assert(
       fc.property(
         fc.record({
@@ -100,14 +100,14 @@
     );
   });
 
-  it('ends in a bounded number of steps when every step fails', () => {
+  it('gives up after a bounded number of losses', () => {
     fc.assert(
       fc.property(fc.constantFrom(...KINDS), (loss) => {
-        let attaches = 0;
+        let attachAttempts = 0;
         for (let losses = 0; losses <= 12; losses++) {
-          const state = createState({loss, losses, attachAttempts: attaches});
+          const state = createState({loss, losses, attachAttempts});
           const response = decideLossResponse(state);
-          if (response === 'attach') attaches++;
+          if (response === 'attach') attachAttempts++;
           else if (response !== 'continue') return;
         }
         assert.fail('never gave up');
@@ -120,10 +120,10 @@
 describe('isLossCounted', () => {
   for (const loss of KINDS) {
     const isFree = loss === 'unreachable';
-    it(`${loss} ${isFree ? 'does not count' : 'counts'} once it may run`, () => {
+    it(`${loss} ${isFree ? 'is ignored' : 'counts'} once it may have run`, () => {
       assert.equal(isLossCounted(loss, true), !isFree);
     });
-    it(`${loss} counts before anything ran`, () => {
+    it(`${loss} counts if nothing ran`, () => {
       assert.equal(isLossCounted(loss, false), true);
     });
   }
--- a/packages/decisions/tests/membership_view.test.ts
+++ b/packages/decisions/tests/membership_view.test.ts
@@ -1,4 +1,4 @@
-/** Hosts see each other come, go, part and meet again. */
+/** Tests of joins, failures and network partitions among many hosts. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
@@ -33,7 +33,7 @@
   };
 }
 
-/** Hosts whose watches carry notes; a test says which links are cut. */
+/** Simulates hosts that monitor each other; a test decides which links fail. */
 class Fleet {
   readonly views: MembershipView[];
   readonly stopped = new Set<number>();
@@ -69,25 +69,25 @@
       if (this.stopped.has(at)) continue;
       const watched = view.listWatchTargets().map((note) => note.hostId);
       view.setWatched(watched, this.now);
-      for (const target of this.listTargets(view)) this.watch(at, target);
+      for (const target of this.listTargets(view)) this.send(at, target);
       view.applyTimeouts(this.now);
     }
   }
 
   private listTargets(view: MembershipView): number[] {
     const watched = view.listWatchTargets().map((note) => note.peerAddress);
-    const seeds = view.listReconnectPeers(2, this.now);
-    return [...watched, ...seeds].map((address) => Number(address.slice(1, 4)));
+    const peers = view.listReconnectPeers(2, this.now);
+    return [...watched, ...peers].map((address) => Number(address.slice(1, 4)));
   }
 
-  /** One exchange over a watch: own note there, everything back. */
-  private watch(watcher: number, target: number): void {
-    const here = this.views[watcher];
+  /** Simulates one exchange: sends the own record, receives all records. */
+  private send(monitor: number, target: number): void {
+    const here = this.views[monitor];
     const there = this.views[target];
     if (here === undefined || there === undefined) return;
     const {hostId, incarnation} = there.self;
     if (this.stopped.has(target)) return;
-    if (this.isCut(watcher, target) || this.isCut(target, watcher)) return;
+    if (this.isCut(monitor, target) || this.isCut(target, monitor)) return;
     this.messages++;
     there.applyNotes([here.self], this.now);
     const {sequence} = here.self;
@@ -102,7 +102,7 @@
 const NO_CUT = (): boolean => false;
 
 describe('MembershipView', () => {
-  it('makes every host known to every other', () => {
+  it('spreads the record of each host to all others', () => {
     const fleet = new Fleet(40, NO_CUT);
     fleet.runUntil(5000);
     for (const view of fleet.views) {
@@ -110,7 +110,7 @@
     }
   });
 
-  it('takes a dead host out for all, and no other', () => {
+  it('declares a stopped host dead on all hosts, and no other', () => {
     const fleet = new Fleet(40, NO_CUT);
     fleet.runUntil(5000);
     fleet.stopped.add(7);
@@ -122,7 +122,7 @@
     }
   });
 
-  it('takes a host back that was silent for a while', () => {
+  it('readmits a host that was silent for a while', () => {
     const fleet = new Fleet(9, NO_CUT);
     fleet.runUntil(3000);
     fleet.stopped.add(4);
@@ -135,7 +135,7 @@
     }
   });
 
-  it('parts and meets again with the links between two sides', () => {
+  it('recovers from a network partition into two sides', () => {
     let cut = false;
     const isCut = (a: number, b: number): boolean => cut && a < 3 !== b < 3;
     const fleet = new Fleet(9, isCut);
@@ -153,8 +153,8 @@
     }
   });
 
-  it('keeps a host that one watcher cannot reach', () => {
-    // The host contradicts by way of others, so nobody else loses it.
+  it('keeps a host that one monitor cannot reach', () => {
+    // The host refutes the suspicion through others, so they keep it.
     const isCut = (a: number, b: number): boolean => a === 0 && b === 1;
     const fleet = new Fleet(9, isCut);
     fleet.runUntil(20_000);
@@ -176,7 +176,7 @@
       return view.find(createNote(1).hostId)?.state;
     }
 
-    it('gives it no more callers at once, and takes it for dead sooner', () => {
+    it('sends it no callers at once, and declares it dead sooner', () => {
       const view = createRefused();
       assert.deepEqual(view.listServing(), [view.self]);
       view.applyTimeouts(100 + TIMES.goneAfterMs - 1);
@@ -185,14 +185,14 @@
       assert.equal(getState(view), 'dead');
     });
 
-    it('waits longer for one that is merely silent', () => {
+    it('waits longer for one that is only silent', () => {
       const view = new MembershipView(createNote(0), TIMES);
       view.applyNotes([createNote(1, {state: 'suspect'})], 100);
       view.applyTimeouts(100 + TIMES.goneAfterMs);
       assert.equal(getState(view), 'suspect');
     });
 
-    it('shortens the wait for one that was silent before', () => {
+    it('shortens the timeout of one that was already suspect', () => {
       const view = new MembershipView(createNote(0), TIMES);
       view.applyNotes([createNote(1, {state: 'suspect'})], 100);
       assert.deepEqual(
@@ -203,7 +203,7 @@
       assert.equal(getState(view), 'dead');
     });
 
-    it('believes its contradiction, and doubts it not on and on', () => {
+    it('accepts its refutation, and then ignores refusals for a while', () => {
       const view = createRefused();
       view.applyNotes([createNote(1, {sequence: 2})], 200);
       assert.equal(getState(view), 'live');
@@ -215,7 +215,7 @@
       assert.equal(getState(view), 'suspect');
     });
 
-    it('takes its next incarnation back at once', () => {
+    it('readmits its next incarnation at once', () => {
       const view = createRefused();
       view.applyNotes([createNote(1, {incarnation: '2'})], 200);
       assert.equal(getState(view), 'live');
@@ -223,13 +223,13 @@
       assert.equal(getState(view), 'live');
     });
 
-    it('says nothing of one that is not known', () => {
+    it('ignores one that is unknown', () => {
       const view = new MembershipView(createNote(0), TIMES);
       assert.deepEqual(view.recordConnectionRefused('nobody', 0), []);
     });
   });
 
-  it('marks as leaving what the lagging list shows as leaving', () => {
+  it('marks hosts as leaving that the host list shows as leaving', () => {
     const view = new MembershipView(createNote(0), TIMES);
     view.applyNotes([createNote(1)], 0);
     const peers = new Map([[createNote(1).peerAddress, 'leaving' as const]]);
@@ -238,7 +238,7 @@
     assert.deepEqual(view.listServing(), [view.self]);
   });
 
-  it('takes notes in any order to the same end', () => {
+  it('reaches the same state for any order of records', () => {
     const notes = fc.array(
       fc.record({
         incarnation: fc.constantFrom('1', '2'),
@@ -255,10 +255,10 @@
     fc.assert(
       fc.property(notes, fc.nat(), (changes, seed) => {
         const given = changes.map((change) => createNote(1, change));
-        const turned = given.map(
+        const rotated = given.map(
           (_, at) => given[(at + seed) % given.length] ?? createNote(1),
         );
-        const ends = [given, turned].map((list) => {
+        const ends = [given, rotated].map((list) => {
           const view = new MembershipView(createNote(0), TIMES);
           for (const note of list) view.applyNotes([note], 0);
           return view.find(createNote(1).hostId);
@@ -273,15 +273,15 @@
 describe('chooseWatchTargets', () => {
   const sizes = [1, 2, 9, 12, 13, 40, 350];
   for (const size of sizes) {
-    it(`gives every one of ${size} hosts the same number of watchers`, () => {
+    it(`gives each of ${size} hosts the same number of monitors`, () => {
       const hosts = Array.from({length: size}, (_, at) => `h${at}`);
-      const watchers = new Map<string, number>();
+      const monitors = new Map<string, number>();
       for (const host of hosts) {
         for (const target of chooseWatchTargets(host, hosts)) {
-          watchers.set(target, (watchers.get(target) ?? 0) + 1);
+          monitors.set(target, (monitors.get(target) ?? 0) + 1);
         }
       }
-      const counts = new Set(hosts.map((host) => watchers.get(host) ?? 0));
+      const counts = new Set(hosts.map((host) => monitors.get(host) ?? 0));
       assert.equal(counts.size, 1);
       const wanted = size <= 12 ? size - 1 : 4;
       assert.ok(counts.has(wanted), [...counts].join(' '));
--- a/packages/decisions/tests/pause_request.test.ts
+++ b/packages/decisions/tests/pause_request.test.ts
@@ -1,4 +1,4 @@
-/** The pause that an endpoint asks for, whatever it asks and in any order. */
+/** Tests of pauses that endpoints request, for any values and any order. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
@@ -30,7 +30,7 @@
 }
 
 describe('the end of a pause', () => {
-  it('is the latest that was asked for, in any order', () => {
+  it('is the latest that was requested, in any order', () => {
     const arrivals = fc.array(
       fc.tuple(fc.integer({min: 0, max: 10_000}), REQUESTS),
       {minLength: 1},
@@ -46,12 +46,12 @@
     );
   });
 
-  it('comes after a moment when what was asked for is no time', () => {
+  it('follows from the default pause if the value is not a time', () => {
     const end = computePauseEnd({kind: 'unreadable'}, 100, undefined);
     assert.equal(end, 100 + UNREADABLE_PAUSE_MS);
   });
 
-  it('is before the return of every caller that was refused', () => {
+  it('is before the retry of every rejected caller', () => {
     assert.equal(computeRetryDelayMs(3000, 1000, 0), 2000);
     assert.ok(computeRetryDelayMs(3000, 1000, 1) > 2000);
     assert.equal(computeRetryDelayMs(1000, 3000, 0), 0);
--- a/packages/decisions/tests/record_fit.test.ts
+++ b/packages/decisions/tests/record_fit.test.ts
@@ -1,4 +1,4 @@
-/** A caller that moves between hosts never gets two texts in one answer. */
+/** Tests that a caller that moves between hosts gets one consistent text. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {SeededRandom} from '@irisdock/kernel';
@@ -8,22 +8,22 @@
 
 const HOSTS = 3;
 
-/** An answer as one host keeps it; one letter is one token. */
-interface Kept {
+/** An answer recorded by a host; each letter is a token. */
+interface AnswerRecord {
   readonly name: string;
   text: string;
 }
 
-/** The caller's connection to a host, and what becomes of it. */
+/** A connection of the caller to a host. */
 interface Visit {
   readonly host: number;
-  /** Tokens that are made while the caller is there. */
+  /** Tokens generated during the connection. */
   readonly made: number;
-  /** Those of them that reach the caller. */
+  /** The number of them that reach the caller. */
   readonly passed: number;
-  /** Whether the caller gets the new resume data. */
+  /** Whether the caller receives the new resume data. */
   readonly hasResume: boolean;
-  /** Whether the caller sends its text along. */
+  /** Whether the caller sends the text that it has received. */
   readonly sendsText: boolean;
 }
 
@@ -38,17 +38,17 @@
   {minLength: 1, maxLength: 12},
 );
 
-/** Plays visits; gives the first at which two texts were mixed. */
+/** Simulates visits; returns the first at which two texts are mixed. */
 function findMixed(
   visits: readonly Visit[],
   isFit: (state: FitState) => boolean,
 ): number | undefined {
   const random = new SeededRandom(7);
-  const kept = new Map<number, Kept>();
+  const records = new Map<number, AnswerRecord>();
   let text = '';
   let callerRecord: string | undefined;
   for (const [at, visit] of visits.entries()) {
-    const found = kept.get(visit.host);
+    const found = records.get(visit.host);
     const joins = found !== undefined && found.text.length >= text.length;
     const fits =
       joins &&
@@ -61,11 +61,12 @@
       });
     const record = fits ? found : {name: `r${at}`, text};
     if (!record.text.startsWith(text)) return at;
-    kept.set(visit.host, record);
+    records.set(visit.host, record);
     for (let token = 0; token < visit.made; token++) {
       record.text += 'abcdefgh'[random.getInt(8)] ?? '';
     }
-    // Resume data goes before the first token, so with a token it is there.
+    // Resume data is sent before the first token, so a caller that received a
+    // token has it.
     const grown = record.text.slice(0, text.length + visit.passed);
     if (visit.hasResume || grown !== text) callerRecord = record.name;
     text = grown;
@@ -74,7 +75,7 @@
 }
 
 describe('isRecordFit', () => {
-  it('lets no caller get two texts in one answer', () => {
+  it('never mixes two texts in one answer', () => {
     fc.assert(
       fc.property(VISITS, (visits) => {
         assert.equal(findMixed(visits, isRecordFit), undefined);
@@ -83,9 +84,9 @@
     );
   });
 
-  it('is needed: the naive way mixes texts in some of the same plays', () => {
-    const plays = fc.sample(VISITS, {...RUN_OPTIONS, numRuns: 500});
-    const mixed = plays.filter((p) => findMixed(p, isOffsetFit) !== undefined);
+  it('is needed: comparing offsets only mixes texts in some cases', () => {
+    const runs = fc.sample(VISITS, {...RUN_OPTIONS, numRuns: 500});
+    const mixed = runs.filter((r) => findMixed(r, isOffsetFit) !== undefined);
     assert.ok(mixed.length > 50, `${mixed.length} of 500`);
   });
 
@@ -95,7 +96,7 @@
     fits: boolean;
   }[] = [
     {
-      name: 'a caller that has nothing yet',
+      name: 'a caller that has received nothing',
       change: {fromOffset: 0},
       fits: true,
     },
@@ -106,7 +107,7 @@
       fits: false,
     },
     {
-      name: 'resume data of another record, though the text is the same',
+      name: 'resume data of another record with the same text',
       change: {callerRecord: 'other', receivedText: 'ab'},
       fits: false,
     },
@@ -127,7 +128,7 @@
     },
   ];
   for (const {name, change, fits} of cases) {
-    it(`${fits ? 'goes on with' : 'leaves'} the record for ${name}`, () => {
+    it(`${fits ? 'accepts' : 'rejects'} the record for ${name}`, () => {
       const state: FitState = {
         fromOffset: 2,
         callerRecord: 'own',
--- a/packages/decisions/tests/request_owner.test.ts
+++ b/packages/decisions/tests/request_owner.test.ts
@@ -1,4 +1,4 @@
-/** A request that is not repeatable starts at most once. */
+/** Tests that a request that must not be repeated starts at most once. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
@@ -41,20 +41,20 @@
   readonly state: Partial<OwnerState>;
   readonly want: OwnerDecision;
 }[] = [
-  {name: 'the owner starts', state: {}, want: 'start'},
-  {name: 'a second send joins', state: {ledger: 'running'}, want: 'join'},
+  {name: 'starts on the owner', state: {}, want: 'start'},
+  {name: 'joins a running request', state: {ledger: 'running'}, want: 'join'},
   {
-    name: 'another host sends the caller to the owner',
+    name: 'redirects the caller from another host to the owner',
     state: {self: {hostId: 'b', incarnation: '1'}},
     want: 'redirect',
   },
   {
-    name: 'the owner that started anew cannot tell',
+    name: 'refuses as unknown if the owner has restarted',
     state: {self: {hostId: 'a', incarnation: '2'}},
     want: 'refuse_unknown',
   },
   {
-    name: 'another host cannot tell once the owner is gone',
+    name: 'refuses as unknown on another host if the owner is gone',
     state: {
       self: {hostId: 'b', incarnation: '1'},
       liveOwnerIncarnation: undefined,
@@ -62,7 +62,7 @@
     want: 'refuse_unknown',
   },
   {
-    name: 'a repeatable request is started when its owner is gone',
+    name: 'starts a repeatable request elsewhere if the owner is gone',
     state: {
       self: {hostId: 'b', incarnation: '1'},
       liveOwnerIncarnation: undefined,
@@ -71,28 +71,28 @@
     want: 'start',
   },
   {
-    name: 'resume data lets another host take over',
+    name: 'takes over on another host with resume data',
     state: {self: {hostId: 'b', incarnation: '1'}, hasResumeData: true},
     want: 'take_over',
   },
   {
-    name: 'an old id is not started',
+    name: 'refuses an expired id',
     state: {nowSeconds: 1000},
     want: 'refuse_expired',
   },
   {
-    name: 'an id of the caller is not bound to a host',
+    name: 'refuses an id chosen by the caller, which has no owner',
     state: {id: parseRequestId('mine', SIGNER)},
     want: 'refuse_unbound',
   },
   {
-    name: 'a forged id is refused',
+    name: 'refuses a forged id',
     state: {id: parseRequestId(`${createId('a', '1')}x`, SIGNER)},
     want: 'refuse_forged',
   },
 ];
 
-/** One thing that happens in a run with several hosts. */
+/** An event in a simulation of several hosts. */
 type Step =
   | {
       readonly kind: 'believe';
@@ -110,7 +110,7 @@
     fc.record({
       kind: fc.constant('believe' as const),
       host: fc.nat(2),
-      // What the host believes of the owner; it may be wrong.
+      // The owner's incarnation as the host sees it; may be wrong.
       live: fc.constantFrom('1', '2', undefined),
     }),
     fc.record({kind: fc.constant('wait' as const), seconds: fc.nat(400)}),
@@ -121,10 +121,10 @@
 interface ModelHost {
   incarnation: number;
   ledger: Map<string, number>;
-  believed: string | undefined;
+  liveOwner: string | undefined;
 }
 
-/** Plays the steps; gives how often the request was started. */
+/** Simulates the steps; returns how often the request was started. */
 function countStarts(
   steps: readonly Step[],
   decide: (state: OwnerState) => OwnerDecision,
@@ -132,7 +132,7 @@
   const hosts = HOSTS.map((): ModelHost => ({
     incarnation: 1,
     ledger: new Map(),
-    believed: '1',
+    liveOwner: '1',
   }));
   const id = createId('a', '1');
   let now = 100;
@@ -148,10 +148,10 @@
       host.incarnation++;
       host.ledger = new Map();
     }
-    if (step.kind === 'believe') host.believed = step.live;
+    if (step.kind === 'believe') host.liveOwner = step.live;
     if (step.kind !== 'send') continue;
     const startedAt = host.ledger.get(id);
-    // The ledger forgets a minute after an id may start no more.
+    // The ledger drops an entry a minute after its id has expired.
     const remembered = startedAt !== undefined && now - startedAt < 360;
     const decision = decide(
       createState({
@@ -161,7 +161,7 @@
           incarnation: String(host.incarnation),
         },
         ledger: remembered ? 'ended' : undefined,
-        liveOwnerIncarnation: host.believed,
+        liveOwnerIncarnation: host.liveOwner,
         nowSeconds: now,
       }),
     );
@@ -179,7 +179,7 @@
     });
   }
 
-  it('starts at most once, whatever hosts believe and however they die', () => {
+  it('starts at most once, whatever hosts assume and however they fail', () => {
     fc.assert(
       fc.property(STEPS, (steps) => {
         assert.ok(countStarts(steps, decideOwner) <= 1);
@@ -188,7 +188,7 @@
     );
   });
 
-  it('is needed: the naive way starts more than once', () => {
+  it('is needed: the naive decision starts more than once', () => {
     const sends = [0, 1].map((host) => ({kind: 'send' as const, host}));
     assert.equal(countStarts(sends, decideOwnerNaively), 2);
   });
--- a/packages/decisions/tests/rollout_plan.test.ts
+++ b/packages/decisions/tests/rollout_plan.test.ts
@@ -1,4 +1,4 @@
-/** The phases of roll-outs, and what a bad version gets in them. */
+/** Tests of rollout phases and of the requests that a bad version gets. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
@@ -27,26 +27,26 @@
   };
 }
 
-describe('the next phase of a roll-out', () => {
-  it('is the trial once a host has taken charge of it', () => {
+describe('the next phase of a rollout', () => {
+  it('is the trial once a host coordinates it', () => {
     assert.equal(decideNextPhase(createView({phase: 'announced'})), 'trial');
   });
 
-  it('goes back whenever the version is found bad before the end', () => {
+  it('is rolled-back whenever the version is found bad', () => {
     for (const phase of ['trial', 'moving'] as const) {
       const view = createView({phase, verdict: 'bad', oldRunning: 0});
       assert.equal(decideNextPhase(view), 'rolled-back');
     }
   });
 
-  it('stays what it is after the end', () => {
+  it('does not change after the end', () => {
     for (const phase of ['completed', 'rolled-back'] as const) {
       const view = createView({phase, verdict: 'bad'});
       assert.equal(decideNextPhase(view), phase);
     }
   });
 
-  it('moves no sooner than the bound holds to the end, sound or not', () => {
+  it('is moving only when the bound holds until the end', () => {
     const early = createView({verdict: 'sound'});
     assert.equal(decideNextPhase(early), 'trial');
     const late = createView({
@@ -58,19 +58,19 @@
     assert.equal(decideNextPhase(late), 'moving');
   });
 
-  it('never moves without any new endpoint or any trial', () => {
-    const over = {elapsedMs: 60_000, verdict: 'sound'} as const;
+  it('stays the trial without new endpoints or trial requests', () => {
+    const late = {elapsedMs: 60_000, verdict: 'sound'} as const;
     assert.equal(
-      decideNextPhase(createView({...over, newEndpoints: 0})),
+      decideNextPhase(createView({...late, newEndpoints: 0})),
       'trial',
     );
     assert.equal(
-      decideNextPhase(createView({...over, trialSends: 0})),
+      decideNextPhase(createView({...late, trialSends: 0})),
       'trial',
     );
   });
 
-  it('ends when all hosts say that nothing runs on old endpoints', () => {
+  it('is completed once all hosts report old endpoints as idle', () => {
     const moving = {phase: 'moving', verdict: 'sound'} as const;
     assert.equal(decideNextPhase(createView(moving)), 'moving');
     const busy = createView({...moving, oldRunning: 1});
@@ -80,8 +80,8 @@
   });
 });
 
-describe('what a bad version gets that shows nothing before the end', () => {
-  it('stays within the bound at any load, time and number of hosts', () => {
+describe('the exposure to a bad version that looks sound', () => {
+  it('stays within the bound at any load, duration and number of hosts', () => {
     const loads = fc.record({
       perSecond: fc.integer({min: 1, max: 1000}),
       seconds: fc.integer({min: 5, max: 60}),
@@ -98,7 +98,7 @@
   });
 });
 
-/** Plays a roll-out of even load; the phase reaches hosts with a delay. */
+/** Simulates a rollout at constant load; hosts learn the phase with a delay. */
 function runLoad(
   perSecond: number,
   seconds: number,
@@ -116,8 +116,8 @@
     if (host === undefined) break;
     host.requests++;
     const isMoved = now >= movedAt;
-    const room = computeTrialQuota(BOUNDS, host.requests, hosts);
-    const isTrial = !isMoved && host.trials + 1 <= room;
+    const quota = computeTrialQuota(BOUNDS, host.requests, hosts);
+    const isTrial = !isMoved && host.trials + 1 <= quota;
     if (isTrial) host.trials++;
     if (isTrial || isMoved) sent++;
     if (movedAt !== Infinity) continue;
@@ -134,7 +134,7 @@
 }
 
 describe('the endpoints of a trial', () => {
-  it('are few, and two at least where there are two', () => {
+  it('are few, but at least two if there are two', () => {
     assert.equal(countTrialEndpoints(BOUNDS, 1), 1);
     assert.equal(countTrialEndpoints(BOUNDS, 4), 2);
     assert.equal(countTrialEndpoints(BOUNDS, 70), 3);
--- a/packages/decisions/tests/rollout_verdict.test.ts
+++ b/packages/decisions/tests/rollout_verdict.test.ts
@@ -1,4 +1,4 @@
-/** Verdicts on new versions, by seeded trials of good and bad ones. */
+/** Tests verdicts by seeded trials of good and bad versions. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
@@ -10,15 +10,16 @@
 import {SeededRandom} from '@irisdock/kernel';
 
 const TRIALS = 200;
-const MOST_ANSWERS = 400;
+const MAX_ANSWERS = 400;
 const STEPS = 1_000_000;
 
+/** Two versions to compare. */
 interface Kind {
-  /** Bad answers of each route before, as a part. */
+  /** The rate of bad answers of the previous version, by route. */
   readonly before: readonly number[];
-  /** The same of the new version. */
+  /** The rate of bad answers of the new version, by route. */
   readonly after: readonly number[];
-  /** The part at one of its endpoints alone, if that one differs. */
+  /** The rate of bad answers of one endpoint, if that one differs. */
   readonly worstEndpoint?: number;
   readonly endpoints: number;
 }
@@ -28,15 +29,15 @@
   readonly answers: number;
 }
 
-/** Adds answers one by one until there is a verdict of a bad version. */
+/** Adds answers one by one until the verdict is bad. */
 function runTrial(kind: Kind, random: SeededRandom): Outcome {
-  const draw = (part: number): boolean => random.getInt(STEPS) < part * STEPS;
+  const draw = (rate: number): boolean => random.getInt(STEPS) < rate * STEPS;
   const counts = kind.before.map(() => ({
     before: {answers: 0, bad: 0},
     byEndpoint: new Map<string, {answers: number; bad: number}>(),
   }));
   let verdict: VersionVerdict = 'open';
-  for (let answers = 1; answers <= MOST_ANSWERS; answers++) {
+  for (let answers = 1; answers <= MAX_ANSWERS; answers++) {
     const route = random.getInt(counts.length);
     const count = counts[route];
     if (count === undefined) break;
@@ -46,10 +47,10 @@
     }
     const endpoint = random.getInt(kind.endpoints);
     const isWorst = endpoint === 0 && kind.worstEndpoint !== undefined;
-    const part = isWorst ? kind.worstEndpoint : (kind.after[route] ?? 0);
+    const rate = isWorst ? kind.worstEndpoint : (kind.after[route] ?? 0);
     const known = count.byEndpoint.get(`e${endpoint}`) ?? {answers: 0, bad: 0};
     known.answers++;
-    if (draw(part)) known.bad++;
+    if (draw(rate)) known.bad++;
     count.byEndpoint.set(`e${endpoint}`, known);
     const evidence: RouteEvidence[] = counts.map((one, at) => ({
       route: `r${at}`,
@@ -58,10 +59,11 @@
     verdict = decideVersionVerdict(evidence);
     if (verdict === 'bad') return {verdict, answers};
   }
-  return {verdict, answers: MOST_ANSWERS};
+  return {verdict, answers: MAX_ANSWERS};
 }
 
-function countBad(kind: Kind, within = MOST_ANSWERS): number {
+/** Counts the trials whose verdict is bad within a number of answers. */
+function countBad(kind: Kind, within = MAX_ANSWERS): number {
   const random = new SeededRandom(20_261_203);
   let bad = 0;
   for (let trial = 0; trial < TRIALS; trial++) {
@@ -74,37 +76,41 @@
 const GOOD: readonly (readonly [string, Kind])[] = [
   ['never fails', {before: [0, 0], after: [0, 0], endpoints: 4}],
   [
-    'fails as the one before',
+    'fails as often as the previous one',
     {before: [0.14, 0], after: [0.14, 0], endpoints: 4},
   ],
   [
-    'fails often on all routes, as the one before',
+    'fails often on all routes, like the previous one',
     {before: [0.3, 0.3, 0.3], after: [0.3, 0.3, 0.3], endpoints: 2},
   ],
   [
-    'has one endpoint that fails half',
+    'has one endpoint that fails half of its answers',
     {before: [0, 0], after: [0, 0], worstEndpoint: 0.5, endpoints: 4},
   ],
   [
-    'is better than the one before',
+    'is better than the previous one',
     {before: [0.4], after: [0.1], endpoints: 4},
   ],
 ];
 
 const BAD: readonly (readonly [string, Kind, number])[] = [
-  ['fails 40 in 100', {before: [0.01], after: [0.4], endpoints: 4}, 40],
   [
-    'fails 40 in 100 at its one endpoint',
+    'fails 40% of the answers',
+    {before: [0.01], after: [0.4], endpoints: 4},
+    40,
+  ],
+  [
+    'fails 40% of the answers at its only endpoint',
     {before: [0], after: [0.4], endpoints: 1},
     40,
   ],
   [
-    'fails 60 in 100 beside 14',
+    'fails 60% of the answers instead of 14%',
     {before: [0.14], after: [0.6], endpoints: 4},
     60,
   ],
   [
-    'fails 60 in 100 on one of four routes',
+    'fails 60% of the answers on one of four routes',
     {before: [0, 0, 0, 0], after: [0.6, 0, 0, 0], endpoints: 4},
     200,
   ],
--- a/packages/decisions/tests/route_table.test.ts
+++ b/packages/decisions/tests/route_table.test.ts
@@ -1,4 +1,4 @@
-/** Routes and shares against the naive versions. */
+/** Tests of routes, against a naive search, and of weighted shares. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {chooseShare, findRouteNaively, RouteTable} from '@irisdock/decisions';
@@ -18,7 +18,7 @@
 );
 
 describe('a route table', () => {
-  it('finds what a look at every route finds', () => {
+  it('finds the same route as a linear search', () => {
     fc.assert(
       fc.property(
         routes,
@@ -35,7 +35,7 @@
     );
   });
 
-  it('takes a host name with a port, in any case', () => {
+  it('accepts a host name with a port and in any case', () => {
     const route = {hostName: 'one.example', pathPrefix: '/a/'};
     const table = new RouteTable([route]);
     assert.equal(table.find('One.Example:8080', '/a/x'), route);
--- a/packages/decisions/tests/run_lease_table.test.ts
+++ b/packages/decisions/tests/run_lease_table.test.ts
@@ -1,4 +1,4 @@
-/** Leases on runs: one holder at a time, whatever is requested in which order. */
+/** Tests that a run lease has one holder at a time for any requests. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {RUN_LEASE_MS, RunLeaseTable} from '@irisdock/decisions';
@@ -22,7 +22,7 @@
   afterMs: fc.integer({min: 0, max: 2 * RUN_LEASE_MS}),
 });
 
-/** The holder by a list of all grants and ends so far. */
+/** Finds the holder by the history of all grants and releases. */
 function findHolder(
   history: readonly {readonly run: string | undefined; readonly at: number}[],
   now: number,
@@ -33,7 +33,7 @@
 }
 
 describe('the leases on runs of a content', () => {
-  it('have one holder, like a history of all grants', () => {
+  it('have one holder at a time, the one by the history of grants', () => {
     fc.assert(
       fc.property(fc.array(STEP), (steps) => {
         const table = new RunLeaseTable();
@@ -56,7 +56,7 @@
     );
   });
 
-  it('ask many waiting runs to return less often each', () => {
+  it('make each waiting run ask less often, the more runs wait', () => {
     const table = new RunLeaseTable();
     table.acquire(CONTENT, 'holder', 0);
     let last = 0;
@@ -66,7 +66,7 @@
     assert.ok(1000 / last <= 0.1, `${last} ms`);
   });
 
-  it('are forgotten once they have ended or expired', () => {
+  it('are dropped once they are released or expired', () => {
     const table = new RunLeaseTable();
     table.acquire(CONTENT, 'p', 0);
     table.acquire('b', 'p', 0);
--- a/packages/decisions/tests/signed_texts.test.ts
+++ b/packages/decisions/tests/signed_texts.test.ts
@@ -1,4 +1,4 @@
-/** Ids and resume data: what was signed comes back, what was not does not. */
+/** Tests that only signed request ids and resume data are accepted. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
@@ -35,7 +35,7 @@
 );
 
 describe('request ids', () => {
-  it('come back as they were minted and fit a header', () => {
+  it('are parsed as they were minted and are valid in a header', () => {
     fc.assert(
       fc.property(MINTED, (minted) => {
         const id = createRequestId(minted, SIGNER);
@@ -47,7 +47,7 @@
     );
   });
 
-  it('are forged when one letter differs or the key does', () => {
+  it('are forged if one character or the key differs', () => {
     fc.assert(
       fc.property(MINTED, fc.nat(), (minted, seed) => {
         const id = createRequestId(minted, SIGNER);
@@ -64,7 +64,7 @@
 });
 
 describe('resume data', () => {
-  it('comes back as it was given', () => {
+  it('is parsed as it was created', () => {
     fc.assert(
       fc.property(RESUME, (data) => {
         const text = createResumeData(data, SIGNER);
@@ -75,7 +75,7 @@
     );
   });
 
-  it('is refused when it is anything else', () => {
+  it('is refused for any other text', () => {
     fc.assert(
       fc.property(fc.string(), (text) => {
         assert.ok(parseResumeData(text, SIGNER).isErr());
--- a/packages/decisions/tests/store_revision.test.ts
+++ b/packages/decisions/tests/store_revision.test.ts
@@ -1,4 +1,4 @@
-/** Revisions of a store that comes back from older copies, and copies of it. */
+/** Tests of revisions and replicas of a store restored from a backup. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
@@ -25,8 +25,8 @@
   return {key, value, revision: createRevision(era, change)};
 }
 
-/** A copy in era 1 of a table with rows `a` and `b`, where `c` was deleted. */
-function createCopy(): TableReplica {
+/** Creates a replica in era 1 with rows `a` and `b` and a tombstone of `c`. */
+function createReplica(): TableReplica {
   const replica = new TableReplica();
   const rows = [createRow('a', 1, 1), createRow('b', 1, 5)];
   replica.applyAll([...rows, createRow('c', 1, 6)], createRevision(1, 6));
@@ -43,7 +43,7 @@
 }
 
 describe('a revision', () => {
-  it('is ordered by the era first, and keeps both', () => {
+  it('is ordered by era first, and preserves era and change', () => {
     fc.assert(
       fc.property(
         ERAS,
@@ -63,7 +63,7 @@
     );
   });
 
-  it('of what a settled table shows is between two changes', () => {
+  it('of a settled row is between two changes', () => {
     fc.assert(
       fc.property(ERAS, CHANGES, (era, change) => {
         const revision = createRevision(era, change);
@@ -76,23 +76,23 @@
     );
   });
 
-  it('is shown without the era of a store that was never restored', () => {
+  it('is formatted without the era if the store was never restored', () => {
     assert.equal(formatRevision(createRevision(0, 54)), '54');
     assert.equal(formatRevision(createRevision(2, 54)), '2.54');
   });
 });
 
-describe('a copy of a table of a restored store', () => {
-  it('takes lower changes of the new era', () => {
-    const replica = createCopy();
+describe('a replica of a table of a restored store', () => {
+  it('applies lower changes of the new era', () => {
+    const replica = createReplica();
     const row = createRow('a', 2, 2, 'new');
     replica.applyRestored([row], createRevision(2, 2));
     assert.equal(replica.find('a')?.value, 'new');
     assert.equal(replica.lastChange, row.revision);
   });
 
-  it('keeps rows that the store lacks, and deleted ones deleted', () => {
-    const replica = createCopy();
+  it('keeps rows that the store lacks, and tombstones', () => {
+    const replica = createReplica();
     const restored = [createRow('a', 2, 1), createRow('c', 2, 3)];
     replica.applyRestored(restored, createRevision(2, 3));
     assert.deepEqual(listKeys(replica), ['a', 'b']);
@@ -100,23 +100,23 @@
     assert.equal(replica.isInCurrentEra('b'), false);
   });
 
-  it('goes by the store once its writers could write again', () => {
-    const replica = createCopy();
+  it('adopts the state of the store once its writers could write again', () => {
+    const replica = createReplica();
     const restored = [createRow('a', 2, 1), createRow('c', 2, 3)];
     const revision = createRevision(2, 3);
     replica.applyRestored(restored, revision);
-    const news = replica.applySettled(restored, revision);
+    const applied = replica.applySettled(restored, revision);
     assert.deepEqual(listKeys(replica), ['a', 'c']);
-    const changed = news.map(({key}) => key).sort();
+    const changed = applied.map(({key}) => key).sort();
     assert.deepEqual(changed, ['b', 'c']);
     assert.ok(replica.lastChange > revision);
-    // Who holds all changes up to the restored one is given both.
+    // A replica with all changes up to the restored one receives both rows.
     const given = replica.listAfter(revision)?.map(({key}) => key);
     assert.deepEqual(given?.sort(), ['b', 'c']);
   });
 
-  it('is settled by a read that later changes have overtaken', () => {
-    const replica = createCopy();
+  it('is settled by a full read even if later changes were applied', () => {
+    const replica = createReplica();
     const restored = [createRow('a', 2, 1), createRow('c', 2, 3)];
     const revision = createRevision(2, 3);
     replica.applyRestored(restored, revision);
@@ -129,8 +129,8 @@
     assert.deepEqual(given?.sort(), ['b', 'c']);
   });
 
-  it('keeps what was deleted after the read that settles it', () => {
-    const replica = createCopy();
+  it('keeps deletions made after the full read that settles it', () => {
+    const replica = createReplica();
     const restored = [createRow('a', 2, 1)];
     const revision = createRevision(2, 3);
     replica.applyRestored(restored, revision);
@@ -140,10 +140,10 @@
     assert.deepEqual(listKeys(replica), []);
   });
 
-  it('leaves no row at who has one that it never had itself', () => {
-    const other = createCopy();
+  it('leaves no row in another replica that it never had itself', () => {
+    const other = createReplica();
     other.applyChanges([createRow('d', 1, 8)], createRevision(1, 8));
-    const replica = createCopy();
+    const replica = createReplica();
     const restored = [createRow('a', 2, 1), createRow('b', 2, 5)];
     replica.applyRestored(restored, createRevision(2, 5));
     const changes = replica.listAfter(other.lastChange);
--- a/packages/decisions/tests/suspension_detector.test.ts
+++ b/packages/decisions/tests/suspension_detector.test.ts
@@ -1,26 +1,26 @@
-/** Whether a machine was suspended, by the clocks of other hosts. */
+/** Tests of detecting suspensions of a machine by the clocks of other hosts. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import * as fc from 'fast-check';
 import {SuspensionDetector} from '@irisdock/decisions';
 
-/** Messages come so often from each host, in ms. */
-const BEAT_MS = 300;
+/** The interval of messages from each host, in ms. */
+const MESSAGE_INTERVAL_MS = 300;
 const HOSTS = ['one', 'two', 'three'];
 
-/** A machine whose steady clock may stand still, and hosts that go on. */
+/** A machine that may be suspended, and hosts that keep running. */
 class Machine {
-  readonly watch = new SuspensionDetector();
-  /** The time of the world, in ms. */
+  readonly detector = new SuspensionDetector();
+  /** The true time, in ms. */
   now = 0;
   suspendedMs = 0;
   wallStepMs = 0;
-  /** What the watch has told in all, in ms. */
-  told = 0;
+  /** The sum of the detected suspensions, in ms. */
+  detectedMs = 0;
 
-  /** Takes a message of a host that was under way for a while. */
+  /** Accepts a message that a host sent `delayMs` ago. */
   accept(host: string, delayMs: number, incarnation = 1): void {
-    this.told += this.watch.accept({
+    this.detectedMs += this.detector.accept({
       host,
       incarnation,
       theirMs: this.now - delayMs,
@@ -30,7 +30,11 @@
   }
 
   run(ms: number, hosts: readonly string[] = HOSTS): void {
-    for (const until = this.now + ms; this.now < until; this.now += BEAT_MS) {
+    for (
+      const until = this.now + ms;
+      this.now < until;
+      this.now += MESSAGE_INTERVAL_MS
+    ) {
       for (const host of hosts) this.accept(host, 5);
     }
   }
@@ -41,76 +45,85 @@
   }
 }
 
-describe('a watch for suspensions', () => {
+describe('SuspensionDetector', () => {
   for (const ms of [1000, 6000, 30_000]) {
-    it(`tells of ${ms} ms by several hosts`, () => {
+    it(`detects ${ms} ms by the clocks of several hosts`, () => {
       const machine = new Machine();
       machine.run(5000);
       machine.wallStepMs = -20_000;
       machine.stop(ms);
       machine.run(1000);
-      assert.ok(Math.abs(machine.told - ms) < 400, `${machine.told}`);
+      assert.ok(
+        Math.abs(machine.detectedMs - ms) < 400,
+        `${machine.detectedMs}`,
+      );
     });
 
-    it(`tells of ${ms} ms by one host and the time of day`, () => {
+    it(`detects ${ms} ms by one host and the wall clock`, () => {
       const machine = new Machine();
       machine.run(5000, ['one']);
       machine.stop(ms);
       machine.run(1000, ['one']);
-      assert.ok(Math.abs(machine.told - ms) < 400, `${machine.told}`);
+      assert.ok(
+        Math.abs(machine.detectedMs - ms) < 400,
+        `${machine.detectedMs}`,
+      );
     });
   }
 
-  it('reads the messages that came during the suspension first', () => {
+  it('copes with queued messages from the time of the suspension', () => {
     const machine = new Machine();
     machine.run(5000, ['one']);
     machine.stop(6000);
-    for (let late = 6000; late > 0; late -= BEAT_MS) {
+    for (let late = 6000; late > 0; late -= MESSAGE_INTERVAL_MS) {
       machine.accept('one', late);
     }
     machine.run(1000, ['one']);
-    assert.ok(Math.abs(machine.told - 6000) < 400, `${machine.told}`);
+    assert.ok(
+      Math.abs(machine.detectedMs - 6000) < 400,
+      `${machine.detectedMs}`,
+    );
   });
 
-  it('tells of a second suspension too, and of each once', () => {
+  it('reports each of several suspensions once', () => {
     const machine = new Machine();
     for (let round = 1; round <= 3; round++) {
       machine.run(5000);
       machine.stop(4000);
       machine.run(5000);
-      assert.ok(Math.abs(machine.told - round * 4000) < 400 * round);
+      assert.ok(Math.abs(machine.detectedMs - round * 4000) < 400 * round);
     }
   });
 
-  it('takes no other life of a host for a suspension', () => {
+  it('ignores the clock of a new incarnation', () => {
     const machine = new Machine();
     machine.run(3000, ['one']);
     machine.wallStepMs = 50_000;
     machine.accept('one', -90_000, 2);
-    assert.equal(machine.told, 0);
+    assert.equal(machine.detectedMs, 0);
   });
 
-  it('believes no single host', () => {
+  it('does not trust a single host', () => {
     const machine = new Machine();
     machine.run(3000);
     machine.accept('one', -90_000);
     machine.run(3000, ['two', 'three']);
-    assert.equal(machine.told, 0);
+    assert.equal(machine.detectedMs, 0);
   });
 
   it('is not misled by messages that were late for a while', () => {
     const machine = new Machine();
-    for (let beat = 0; beat < 100; beat++) {
+    for (let round = 0; round < 100; round++) {
       for (const host of HOSTS) machine.accept(host, 3000);
-      machine.now += BEAT_MS;
+      machine.now += MESSAGE_INTERVAL_MS;
     }
     machine.run(3000);
-    assert.equal(machine.told, 0);
+    assert.equal(machine.detectedMs, 0);
   });
 
   for (const {what, delayMs, stepMs} of [
     {what: 'delays and drift', delayMs: 5000, stepMs: 0},
-    {what: 'jumps of the time of day', delayMs: 300, stepMs: 60_000},
+    {what: 'steps of the wall clock', delayMs: 300, stepMs: 60_000},
   ]) {
     it(`is not misled by ${what}`, () => {
       const message = fc.record({
@@ -127,7 +140,7 @@
             machine.wallStepMs = one.wallStepMs;
             machine.accept(one.host, one.delayMs - machine.now / 10_000);
           }
-          assert.equal(machine.told, 0);
+          assert.equal(machine.detectedMs, 0);
         }),
         {seed: 30, numRuns: 300},
       );
--- a/packages/decisions/tests/table_replica.test.ts
+++ b/packages/decisions/tests/table_replica.test.ts
@@ -1,4 +1,4 @@
-/** Copies of tables that are filled from several sources. */
+/** Tests of table replicas that are fed from several sources. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {TableReplica, type ReplicaRow} from '@irisdock/decisions';
@@ -13,7 +13,7 @@
   return {key, value, revision};
 }
 
-/** A history of changes, each with the next revision. */
+/** Histories of changes with consecutive revisions. */
 const histories = fc
   .array(fc.record({key: fc.constantFrom('a', 'b', 'c'), isPut: fc.boolean()}))
   .map((changes) =>
@@ -39,8 +39,8 @@
   return [...values].sort(([a], [b]) => (a < b ? -1 : 1));
 }
 
-describe('a replica', () => {
-  it('ends as the history does, whatever is repeated or late', () => {
+describe('TableReplica', () => {
+  it('reflects the history, even if changes are repeated or late', () => {
     fc.assert(
       fc.property(histories, fc.array(fc.nat()), (history, extra) => {
         const replica = new TableReplica();
@@ -58,7 +58,7 @@
     );
   });
 
-  it('brings another one up to date with the changes after a revision', () => {
+  it('brings another replica up to date by the changes after a revision', () => {
     fc.assert(
       fc.property(histories, fc.nat(), (history, cut) => {
         const at = history.length === 0 ? 0 : cut % history.length;
@@ -76,7 +76,7 @@
     );
   });
 
-  it('misses nothing after a whole read whose pages are of different moments', () => {
+  it('misses nothing after a full read whose pages are of different moments', () => {
     const moments = fc.tuple(fc.nat(), fc.nat(), fc.nat());
     fc.assert(
       fc.property(histories, moments, (history, cuts) => {
@@ -90,10 +90,10 @@
         }
         const replica = new TableReplica();
         replica.applyAll(rows, ends[0] ?? 0);
-        // What others tell is taken when it follows on the last change held.
+        // Changes from other hosts follow the last change of the replica.
         const {lastChange} = replica;
-        const told = history.filter(({revision}) => revision > lastChange);
-        replica.applyChanges(told, history.length);
+        const changes = history.filter(({revision}) => revision > lastChange);
+        replica.applyChanges(changes, history.length);
         const expected = sortEntries(listNaively(history));
         assert.deepEqual(sortEntries(listValues(replica)), expected);
       }),
@@ -101,22 +101,22 @@
     );
   });
 
-  it('takes rows that a whole read lacks as deleted', () => {
+  it('deletes rows that a full read lacks', () => {
     const replica = new TableReplica();
     replica.applyAll([createRow('a', 1), createRow('b', 2)], 2);
-    const news = replica.applyAll([createRow('b', 2)], 5);
-    assert.deepEqual(news, [{key: 'a', value: undefined, revision: 5}]);
+    const applied = replica.applyAll([createRow('b', 2)], 5);
+    assert.deepEqual(applied, [{key: 'a', value: undefined, revision: 5}]);
     assert.equal(replica.lastChange, 5);
   });
 
-  it('does not go back to an older whole read', () => {
+  it('ignores an older full read', () => {
     const replica = new TableReplica();
     replica.applyAll([createRow('a', 7)], 9);
     assert.deepEqual(replica.applyAll([createRow('a', 3)], 4), []);
     assert.equal(replica.revision, 9);
   });
 
-  it('brings no one up to date who has rows deleted before it was read', () => {
+  it('lists no changes if rows were deleted before its first full read', () => {
     const other = new TableReplica();
     other.applyAll([createRow('a', 1), createRow('b', 2)], 2);
     const replica = new TableReplica();
@@ -124,7 +124,7 @@
     assert.equal(replica.listAfter(other.lastChange), undefined);
   });
 
-  it('knows no changes before it was read whole', () => {
+  it('lists no changes before its first full read', () => {
     const replica = new TableReplica();
     replica.applyChanges([createRow('a', 3)], 3);
     assert.equal(replica.listAfter(0), undefined);
--- a/scripts/check_proofs.mjs
+++ b/scripts/check_proofs.mjs
@@ -186,7 +186,7 @@
     "note.state === 'dead')",
     'false)',
     'decisions/membership_view',
-    'parts and meets',
+    'recovers from a network partition',
   ],
   [
     'teams share the queue',
@@ -242,7 +242,7 @@
     'member.isRefusing = true',
     'void 0',
     'decisions/membership_view',
-    'takes it for dead sooner',
+    'declares it dead sooner',
   ],
   [
     'what may have run is not said to be not run',
--- a/scripts/limit_trials.mjs
+++ b/scripts/limit_trials.mjs
@@ -45,7 +45,7 @@
     'report.at > known.at',
     'true',
     PURE,
-    'once it is asked after',
+    'a request that follows a change',
   ],
   [
     'limit: what cannot be read is bounded',
@@ -61,7 +61,7 @@
     'heard * MINOR_SIDE_PART',
     '1',
     PURE,
-    'both sides of a cut',
+    'both sides of a partition',
   ],
   [
     'limit: a host that has just started gives none',
@@ -85,7 +85,7 @@
     'const from = Math.max(now, this.lastAt)',
     'const from = now',
     PURE,
-    'come back one by one',
+    'retried one by one',
   ],
   [
     'limit: a limit without an answer is looked at again',
