--- a/packages/daemon/src/services/orders.ts
+++ b/packages/daemon/src/services/orders.ts
@@ -12,7 +12,7 @@
   type Logger,
 } from '@irisdock/kernel';
 import {
-  chooseDutyHosts,
+  chooseLeaderCandidates,
   DEFAULT_LEASE_TIMINGS,
   LeaseState,
   planOrders,
@@ -85,7 +85,7 @@
   private isCandidate(): boolean {
     const {membership, host} = this.parts;
     const serving = membership.view.listServing().map((note) => note.hostId);
-    const candidates = chooseDutyHosts(LEASE_NAME, serving, CANDIDATES);
+    const candidates = chooseLeaderCandidates(LEASE_NAME, serving, CANDIDATES);
     return candidates.includes(host.hostId);
   }
 
--- a/packages/decisions/src/leaving_hold_down.ts
+++ b/packages/decisions/src/leaving_hold_down.ts
@@ -8,13 +8,13 @@
  */
 
 /** An entry of the list. */
-export interface ListedAddress {
+export interface AddressState {
   readonly address: string;
   readonly state: 'leaving' | 'live';
 }
 
 /** Holds addresses in the leaving state after they were last seen leaving. */
-export class LeavingHoldDown<T extends ListedAddress> {
+export class LeavingHoldDown<T extends AddressState> {
   private readonly seenAt = new Map<string, number>();
 
   /** @param holdMs The hold-down time, in ms. */
--- a/packages/decisions/tests/endpoint_limits.test.ts
+++ b/packages/decisions/tests/endpoint_limits.test.ts
@@ -3,7 +3,7 @@
 import {describe, it} from 'node:test';
 import * as fc from 'fast-check';
 import {
-  computePauseMs,
+  computePermitRetryDelayMs,
   computeEnforcedRate,
   isNewerReport,
   NO_SENDS,
@@ -267,9 +267,9 @@
   });
 
   it('make each host ask for permits less often, the more hosts ask', () => {
-    assert.equal(computePauseMs(2, 3, 100), 100);
-    assert.equal(computePauseMs(2, 0.2, 4000), 250);
-    assert.equal(computePauseMs(350, 3, 100), 7000);
-    assert.equal(Math.round(computePauseMs(350, 1000, 1)), 117);
+    assert.equal(computePermitRetryDelayMs(2, 3, 100), 100);
+    assert.equal(computePermitRetryDelayMs(2, 0.2, 4000), 250);
+    assert.equal(computePermitRetryDelayMs(350, 3, 100), 7000);
+    assert.equal(Math.round(computePermitRetryDelayMs(350, 1000, 1)), 117);
   });
 });
--- a/packages/decisions/tests/gateway_limits.test.ts
+++ b/packages/decisions/tests/gateway_limits.test.ts
@@ -3,8 +3,8 @@
 import {describe, it} from 'node:test';
 import {
   chooseStoreReaders,
-  RETURN_GRACE_MS,
-  StoreContact,
+  RECOVERY_GRACE_MS,
+  StoreReachability,
   WindowedRetryBudget,
 } from '@irisdock/decisions';
 import fc from 'fast-check';
@@ -52,16 +52,16 @@
   });
 });
 
-describe('StoreContact', () => {
+describe('StoreReachability', () => {
   it('delays departures during and shortly after an outage of the store', () => {
-    const contact = new StoreContact();
-    contact.recordAnswer(0);
-    assert.equal(contact.getDepartureDelay(10), 0);
+    const contact = new StoreReachability();
+    contact.recordSuccess(0);
+    assert.equal(contact.getDepartureDelayMs(10), 0);
     contact.recordFailure(100);
-    assert.equal(contact.getDepartureDelay(200), Infinity);
-    contact.recordAnswer(500);
-    assert.equal(contact.getDepartureDelay(600), RETURN_GRACE_MS - 100);
-    assert.equal(contact.getDepartureDelay(500 + RETURN_GRACE_MS), 0);
+    assert.equal(contact.getDepartureDelayMs(200), Infinity);
+    contact.recordSuccess(500);
+    assert.equal(contact.getDepartureDelayMs(600), RECOVERY_GRACE_MS - 100);
+    assert.equal(contact.getDepartureDelayMs(500 + RECOVERY_GRACE_MS), 0);
   });
 });
 
--- a/packages/decisions/tests/leaving_hold_down.test.ts
+++ b/packages/decisions/tests/leaving_hold_down.test.ts
@@ -1,16 +1,13 @@
 /** Tests that a contradictory host list sends no work to leaving hosts. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {LeavingHoldDown, type ListedAddress} from '@irisdock/decisions';
+import {LeavingHoldDown, type AddressState} from '@irisdock/decisions';
 import fc from 'fast-check';
 import {RUN_OPTIONS} from './run_options.js';
 
 const HOLD_MS = 5000;
 
-function createHost(
-  state: ListedAddress['state'],
-  address = 'a',
-): ListedAddress {
+function createHost(state: AddressState['state'], address = 'a'): AddressState {
   return {address, state};
 }
 
@@ -18,8 +15,8 @@
   const cases: readonly {
     name: string;
     /** The times at which lists are read, and the states in them. */
-    reads: readonly (readonly [number, readonly ListedAddress['state'][]])[];
-    want: ListedAddress['state'] | undefined;
+    reads: readonly (readonly [number, readonly AddressState['state'][]])[];
+    want: AddressState['state'] | undefined;
   }[] = [
     {name: 'keeps the listed state', reads: [[0, ['live']]], want: 'live'},
     {
@@ -63,8 +60,8 @@
   ];
   for (const {name, reads, want} of cases) {
     it(name, () => {
-      const holdDown = new LeavingHoldDown<ListedAddress>(HOLD_MS);
-      let last: ListedAddress[] = [];
+      const holdDown = new LeavingHoldDown<AddressState>(HOLD_MS);
+      let last: AddressState[] = [];
       for (const [at, states] of reads) {
         last = holdDown.apply(
           states.map((state) => createHost(state)),
@@ -79,14 +76,14 @@
   it('returns the same states for any order of the list', () => {
     const host = fc.record({
       address: fc.constantFrom('a', 'b', 'c'),
-      state: fc.constantFrom<ListedAddress['state']>('live', 'leaving'),
+      state: fc.constantFrom<AddressState['state']>('live', 'leaving'),
     });
     fc.assert(
       fc.property(fc.array(host, {maxLength: 8}), fc.nat(), (list, turn) => {
         const rotated = list.map((_, at) => list[(at + turn) % list.length]);
         const given = rotated.filter((each) => each !== undefined);
         const [one, other] = [list, given].map((each) => {
-          const merged = new LeavingHoldDown<ListedAddress>(0).apply(each, 0);
+          const merged = new LeavingHoldDown<AddressState>(0).apply(each, 0);
           return merged.map((h) => `${h.address} ${h.state}`).sort();
         });
         assert.deepEqual(one, other);
--- a/packages/decisions/tests/limits.test.ts
+++ b/packages/decisions/tests/limits.test.ts
@@ -1,13 +1,13 @@
 /**
  * Tests of gap statistics, leases, retry budgets, wait estimates, addresses for
- * callers, planned orders and duty hosts.
+ * callers, planned orders and leader candidates.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {SeededRandom} from '@irisdock/kernel';
 import {
   chooseAddresses,
-  chooseDutyHosts,
+  chooseLeaderCandidates,
   computeRetryAfterSeconds,
   GapStatistics,
   DEFAULT_LEASE_TIMINGS,
@@ -320,13 +320,17 @@
   });
 });
 
-describe('chooseDutyHosts', () => {
+describe('chooseLeaderCandidates', () => {
   it('chooses the same hosts for any order of the ids', () => {
     const ids = fc.uniqueArray(fc.string(), {maxLength: 20});
     fc.assert(
       fc.property(ids, fc.nat(5), (hostIds, count) => {
-        const chosen = chooseDutyHosts('orders', hostIds, count);
-        const other = chooseDutyHosts('orders', [...hostIds].reverse(), count);
+        const chosen = chooseLeaderCandidates('orders', hostIds, count);
+        const other = chooseLeaderCandidates(
+          'orders',
+          [...hostIds].reverse(),
+          count,
+        );
         assert.deepEqual(chosen, other);
         assert.equal(chosen.length, Math.min(count, hostIds.length));
       }),
--- a/packages/gateway/src/services/peer_hosts.ts
+++ b/packages/gateway/src/services/peer_hosts.ts
@@ -7,13 +7,13 @@
 import {getShuffled} from '@irisdock/kernel';
 import type {
   DatagramPort,
-  OpenDatagramPort,
+  DatagramPortFactory,
 } from '../channels/datagram_socket.js';
 import {FramedPort} from '../channels/framed_port.js';
 import {decodePeerDatagram, encodePeerDatagram} from '../model/peer_codec.js';
 import type {DropReason} from '../model/peer_frame.js';
-import type {PeerDatagram, PeerPlace} from '../model/peer_message.js';
-import {CopyChecks} from '../tables/copy_checks.js';
+import type {PeerDatagram, PeerLocation} from '../model/peer_message.js';
+import {FreshnessChecker} from '../tables/freshness_checker.js';
 import {EngineGroups} from './engine_groups.js';
 import {
   HostTracker,
@@ -21,13 +21,17 @@
   type HostTrackerParts,
   type PeerState,
 } from './host_tracker.js';
-import {PeerBoards} from './peer_boards.js';
-import {NewsSpreader} from '../tables/news_spreader.js';
-import type {ShownHost} from './shown_hosts.js';
-import {SeedTries} from './seed_tries.js';
-import type {StoreStanding} from '../tables/store_standing.js';
-import {UseNotices, type SendToHosts, type UseBoard} from './use_notices.js';
-import {UseQuestions} from './use_questions.js';
+import {DatagramHandlers} from './datagram_handlers.js';
+import {UpdateBroadcaster} from '../tables/update_broadcaster.js';
+import type {HostSummary} from './host_summaries.js';
+import {SeedSchedule} from './seed_schedule.js';
+import type {StoreStatus} from '../tables/store_status.js';
+import {
+  UsePublisher,
+  type SendToHosts,
+  type UseRegistry,
+} from './use_publisher.js';
+import {UseQueries} from './use_queries.js';
 
 /** What the peers need of the rest. */
 export interface PeersParts extends Omit<HostTrackerParts, 'hasSeeds'> {
@@ -36,7 +40,7 @@
   readonly seeds: readonly string[];
   /** The name of the deployment. */
   readonly deployment: string;
-  readonly openDatagrams: OpenDatagramPort;
+  readonly openDatagrams: DatagramPortFactory;
   /** Counts a datagram that was dropped. */
   readonly recordDrop: (reason: DropReason) => void;
 }
@@ -53,16 +57,16 @@
 
 /** The other hosts. */
 export class Peers {
-  readonly uses: UseNotices;
-  readonly questions: UseQuestions;
+  readonly usePublisher: UsePublisher;
+  readonly useQueries: UseQueries;
   readonly groups: EngineGroups;
   /** Who takes what other hosts say of roll-outs, crashes, limits and leases. */
-  readonly boards = new PeerBoards();
+  readonly handlers = new DatagramHandlers();
   private readonly tracker: HostTracker;
   private readonly socket: DatagramPort;
-  private readonly news: NewsSpreader;
-  private readonly seeds: SeedTries;
-  private readonly checks: CopyChecks;
+  private readonly news: UpdateBroadcaster;
+  private readonly seeds: SeedSchedule;
+  private readonly checks: FreshnessChecker;
 
   constructor(private readonly parts: PeersParts) {
     const {name, place, tables, random, log, clock} = parts;
@@ -73,7 +77,7 @@
     this.tracker = new HostTracker({...parts, hasSeeds}, send);
     const {view} = this.tracker;
     this.groups = new EngineGroups(name, place, view, random);
-    this.news = new NewsSpreader({
+    this.news = new UpdateBroadcaster({
       tables,
       loader: this.tracker.loader,
       targets: this.groups,
@@ -84,7 +88,7 @@
       send,
       log,
     });
-    this.checks = new CopyChecks({
+    this.checks = new FreshnessChecker({
       ...parts,
       standing: this.standing,
       countHosts: () => view.countKnown() + 1,
@@ -92,8 +96,8 @@
         this.news.publish(table, shown, false);
       },
     });
-    this.uses = new UseNotices(parts, view, this.groups, send);
-    this.questions = new UseQuestions(
+    this.usePublisher = new UsePublisher(parts, view, this.groups, send);
+    this.useQueries = new UseQueries(
       name,
       view,
       this.groups,
@@ -101,7 +105,7 @@
       random,
       send,
     );
-    this.seeds = new SeedTries(random, parts.seeds);
+    this.seeds = new SeedSchedule(random, parts.seeds);
     this.socket = new FramedPort(parts, (payload) => {
       this.handleDatagram(payload);
     });
@@ -113,14 +117,14 @@
   }
 
   /** Sets who knows what runs here. */
-  set useBoard(board: UseBoard) {
-    this.uses.board = board;
-    this.questions.board = board;
+  set useRegistry(board: UseRegistry) {
+    this.usePublisher.registry = board;
+    this.useQueries.registry = board;
     this.groups.engines = board;
   }
 
   /** How this host and the others stand with the store. */
-  get standing(): StoreStanding {
+  get standing(): StoreStatus {
     return this.tracker.standing;
   }
 
@@ -130,7 +134,7 @@
   }
 
   /** Where this host can be reached. */
-  get place(): PeerPlace {
+  get place(): PeerLocation {
     return this.parts.place;
   }
 
@@ -153,7 +157,7 @@
   }
 
   /** Lists where callers may be sent, this host among them if it takes them. */
-  listServing(): PeerPlace[] {
+  listServing(): PeerLocation[] {
     const places = this.tracker.view.listServing().map(({place}) => place);
     if (this.tracker.getState() === 'ready') places.push(this.place);
     return places;
@@ -165,22 +169,22 @@
   }
 
   /** Lists all hosts for operators, those with faults first. */
-  listShown(now: number): ShownHost[] {
-    return this.tracker.listShown(now);
+  listHostSummaries(now: number): HostSummary[] {
+    return this.tracker.listHostSummaries(now);
   }
 
   /** Lists the names of the hosts that take or took requests, this one too. */
-  listTakingNames(): string[] {
+  listActiveNames(): string[] {
     return this.listNames((state) => state !== 'starting');
   }
 
   /** Lists the names of the hosts that take callers and stay, this one too. */
-  listStayingNames(): string[] {
+  listReadyNames(): string[] {
     return this.listNames((state) => state === 'ready');
   }
 
   /** Counts the hosts that may live and stay, also those not heard of late. */
-  countMayLive(): number {
+  countPossiblyAlive(): number {
     let count = 1;
     for (const {record} of this.tracker.view.listKnown()) {
       if (record.state !== 'leaving') count++;
@@ -211,7 +215,7 @@
 
   /** Sends to hosts by name, as far as they are known. */
   sendToNames(names: readonly string[], datagram: PeerDatagram): void {
-    const hosts: KnownHost<PeerPlace>[] = [];
+    const hosts: KnownHost<PeerLocation>[] = [];
     for (const name of names) {
       const host = this.tracker.view.find(name);
       if (host !== undefined) hosts.push(host);
@@ -231,10 +235,10 @@
   }
 
   /** Does what is due in a beat. */
-  sendBeat(): void {
-    this.tracker.startBeat(this.parts.clock.getNow());
-    this.uses.startBeat();
-    this.boards.limits?.startBeat();
+  runHeartbeat(): void {
+    this.tracker.startHeartbeat(this.parts.clock.getNow());
+    this.usePublisher.startHeartbeat();
+    this.handlers.limits?.startHeartbeat();
     const known = this.listAlive().map(({place}) => place.tables);
     const seed = this.seeds.chooseNext(known);
     if (seed !== undefined) void this.tracker.loader.loadAll(seed);
@@ -247,7 +251,7 @@
 
   close(): void {
     this.checks.close();
-    this.uses.close();
+    this.usePublisher.close();
     this.news.close();
     this.socket.close();
     this.tracker.close();
@@ -276,7 +280,7 @@
   }
 
   private sendTo(
-    hosts: readonly KnownHost<PeerPlace>[],
+    hosts: readonly KnownHost<PeerLocation>[],
     datagram: PeerDatagram,
   ): void {
     if (hosts.length === 0) return;
@@ -303,19 +307,19 @@
         this.news.accept(datagram);
         return;
       case 'uses':
-        this.uses.accept(datagram);
+        this.usePublisher.accept(datagram);
         return;
       case 'loss':
-        this.uses.acceptLoss(datagram);
+        this.usePublisher.acceptLoss(datagram);
         return;
       case 'question':
-        this.questions.acceptQuestion(datagram);
+        this.useQueries.acceptQuery(datagram);
         return;
       case 'answer':
-        this.questions.acceptAnswer(datagram);
+        this.useQueries.acceptAnswer(datagram);
         return;
       default:
-        this.boards.accept(datagram);
+        this.handlers.accept(datagram);
     }
   }
 }
--- a/packages/gateway/src/services/permit_grants.ts
+++ b/packages/gateway/src/services/permit_grants.ts
@@ -2,7 +2,7 @@
  * Hands out permits to all hosts for the endpoints whose issuer this host is.
  */
 import {
-  computePauseMs,
+  computePermitRetryDelayMs,
   NO_SENDS,
   PermitBucket,
   RetrySchedule,
@@ -10,19 +10,19 @@
 } from '@irisdock/decisions';
 import type {Clock} from '@irisdock/kernel';
 import type {
-  PermitAnswerDatagram,
-  PermitAskDatagram,
-  ToldLimit,
+  PermitResponseDatagram,
+  PermitRequestDatagram,
+  ReportedLimit,
 } from '../model/limit_datagram.js';
 import type {KnownLimits} from './known_limits.js';
 
 /** A question without what only other hosts need to know. */
-export type PermitAsk = Omit<PermitAskDatagram, 'kind' | 'limit'>;
+export type PermitRequest = Omit<PermitRequestDatagram, 'kind' | 'limit'>;
 
 interface GivenAnswer {
   readonly incarnation: number;
   readonly at: number;
-  readonly answer: PermitAnswerDatagram;
+  readonly answer: PermitResponseDatagram;
 }
 
 /** What is kept of one endpoint. */
@@ -50,7 +50,7 @@
   ) {}
 
   /** Answers a question; the same one again gets the same answer. */
-  decide(instanceId: string, ask: PermitAsk): PermitAnswerDatagram {
+  decide(instanceId: string, ask: PermitRequest): PermitResponseDatagram {
     const now = this.clock.getNow();
     const perSecond = this.beliefs.findRate(instanceId);
     if (perSecond === undefined) {
@@ -76,7 +76,11 @@
       ...this.createAnswer(instanceId, ask, true),
       granted,
       waitMs,
-      pauseMs: computePauseMs(countAskers(permits, now), perSecond, waitMs),
+      pauseMs: computePermitRetryDelayMs(
+        countAskers(permits, now),
+        perSecond,
+        waitMs,
+      ),
       lastReturnMs: permits.returns.computeLastDelayMs(now),
     };
     permits.given.set(ask.name, {incarnation, at: now, answer});
@@ -84,7 +88,7 @@
   }
 
   /** Gives what is believed here of an endpoint's limit. */
-  createTold(instanceId: string): ToldLimit {
+  createLimitSummary(instanceId: string): ReportedLimit {
     const report = this.beliefs.findReport(instanceId);
     const now = this.clock.getNow();
     const ageMs = report === undefined ? 0 : Math.max(0, now - report.at);
@@ -98,9 +102,9 @@
 
   private createAnswer(
     instanceId: string,
-    {number}: PermitAsk,
+    {number}: PermitRequest,
     isIssuer: boolean,
-  ): PermitAnswerDatagram {
+  ): PermitResponseDatagram {
     return {
       kind: 'permit-answer',
       number,
@@ -109,7 +113,7 @@
       waitMs: NOT_ISSUER_WAIT_MS,
       pauseMs: NOT_ISSUER_WAIT_MS,
       lastReturnMs: 0,
-      limit: this.createTold(instanceId),
+      limit: this.createLimitSummary(instanceId),
     };
   }
 
--- a/packages/gateway/src/services/run_lease_client.ts
+++ b/packages/gateway/src/services/run_lease_client.ts
@@ -4,10 +4,10 @@
  */
 import type {Clock} from '@irisdock/kernel';
 import type {
-  LeaseAnswerDatagram,
-  LeaseAskDatagram,
+  LeaseResponseDatagram,
+  LeaseRequestDatagram,
   LeasedRun,
-  LeaseEndDatagram,
+  LeaseReleaseDatagram,
 } from '../model/run_lease_datagram.js';
 import type {
   LeaseOutcome,
@@ -15,9 +15,9 @@
   RunLeases,
 } from '../serving/suspect_run.js';
 import type {HostIdentity} from './identity.js';
-import type {LeaseBoard} from './peer_boards.js';
+import type {LeaseDatagramHandler} from './datagram_handlers.js';
 import type {Peers} from './peer_hosts.js';
-import {PeerQuestions} from './peer_questions.js';
+import {PeerRequests} from './peer_requests.js';
 import type {RunLeaseIssuer} from './run_lease_issuer.js';
 
 /** The time between two renewals, in ms; two may be lost. */
@@ -39,23 +39,23 @@
 }
 
 /** Acquires leases. */
-export class RunLeaseClient implements RunLeases, LeaseBoard {
-  private readonly questions: PeerQuestions<
-    LeaseAskDatagram,
-    LeaseAnswerDatagram
+export class RunLeaseClient implements RunLeases, LeaseDatagramHandler {
+  private readonly questions: PeerRequests<
+    LeaseRequestDatagram,
+    LeaseResponseDatagram
   >;
   private lastRun = 0;
 
   constructor(private readonly parts: RunLeaseClientParts) {
     const {clock, peers} = parts;
-    this.questions = new PeerQuestions(clock, (to, ask) => {
+    this.questions = new PeerRequests(clock, (to, ask) => {
       peers.sendToNames([to], ask);
     });
   }
 
   async acquire(request: LeaseRequest): Promise<LeaseOutcome> {
     const {clock} = this.parts;
-    const {content, signal, mostMs, isNeeded} = request;
+    const {content, signal, maxWaitMs: mostMs, isNeeded} = request;
     const run = this.createRun(content);
     const startedAt = clock.getNow();
     let answeredAt = startedAt;
@@ -87,16 +87,16 @@
     this.parts.issuer.dropExpired();
   }
 
-  acceptLeaseAsk(ask: LeaseAskDatagram): void {
+  acceptLeaseRequest(ask: LeaseRequestDatagram): void {
     const answer = this.parts.issuer.decide(ask);
     this.parts.peers.sendToNames([ask.name], answer);
   }
 
-  acceptLeaseAnswer(answer: LeaseAnswerDatagram): void {
+  acceptLeaseAnswer(answer: LeaseResponseDatagram): void {
     this.questions.accept(answer);
   }
 
-  acceptLeaseEnd(end: LeaseEndDatagram): void {
+  acceptLeaseRelease(end: LeaseReleaseDatagram): void {
     this.parts.issuer.release(end);
   }
 
@@ -109,11 +109,11 @@
   private async poll(
     run: LeasedRun,
     isRenewal: boolean,
-  ): Promise<LeaseAnswerDatagram | undefined> {
+  ): Promise<LeaseResponseDatagram | undefined> {
     const {issuer, identity} = this.parts;
     const name = issuer.findIssuer(run.content);
     if (name === undefined) return undefined;
-    const createAsk = (number: number): LeaseAskDatagram => {
+    const createAsk = (number: number): LeaseRequestDatagram => {
       return {kind: 'lease-ask', ...run, number, isRenewal};
     };
     if (name === identity.name) return issuer.decide(createAsk(0));
--- a/packages/gateway/src/serving/answer_reading.ts
+++ b/packages/gateway/src/serving/plain_answer_reader.ts
@@ -1,7 +1,7 @@
 /** What an answer that is no event stream says of its request. */
 import {
   MISDIRECTED_STATUS,
-  type EndpointAnswer,
+  type EndpointResponse,
 } from '../channels/endpoint_client.js';
 import type {GatewayEndpoints} from '../services/gateway_endpoints.js';
 import {readAnswerBody} from './answer_body.js';
@@ -9,7 +9,7 @@
 import type {EndpointRecord} from './endpoint_record.js';
 
 /** The reading. */
-export type AnswerReading =
+export type PlainAnswerResult =
   /** The endpoint did not run it. */
   | {readonly kind: 'refused'; readonly detail: string}
   /** It ran or may have run, and its answer cannot be used. */
@@ -24,9 +24,9 @@
 export async function readPlainAnswer(
   endpoints: GatewayEndpoints,
   endpoint: EndpointRecord,
-  answer: EndpointAnswer,
-): Promise<AnswerReading> {
-  const {status, terms, lines, isFramed} = answer;
+  answer: EndpointResponse,
+): Promise<PlainAnswerResult> {
+  const {status, metadata: terms, lines, isFramed} = answer;
   const body = await readAnswerBody(answer);
   if (status === MISDIRECTED_STATUS) {
     endpoints.reportReplaced(endpoint, terms.endpointId);
--- a/packages/gateway/src/serving/repeat_budgets.ts
+++ b/packages/gateway/src/serving/retry_budgets.ts
@@ -5,7 +5,7 @@
 } from '@irisdock/decisions';
 
 /** The budgets. */
-export class RepeatBudgets {
+export class RetryBudgets {
   private readonly budgets = new Map<string, WindowedRetryBudget>();
 
   /** @param countHosts Gives the hosts that share each budget. */
@@ -22,12 +22,12 @@
   }
 
   /** Counts a request for a service. */
-  addRequest(service: string): void {
+  recordRequest(service: string): void {
     this.getBudget(service).addRequest(this.getNow());
   }
 
   /** Takes one repeated send; false when this host's share is used up. */
-  takeRepeat(service: string): boolean {
+  takeRetry(service: string): boolean {
     const hosts = this.countHosts();
     return this.getBudget(service).takeRetry(this.getNow(), hosts);
   }
--- a/scripts/restore_trials.mjs
+++ b/scripts/restore_trials.mjs
@@ -27,7 +27,7 @@
   ],
   [
     'restore: then it is gone',
-    `${GATEWAY}/tables/restore_settling.js`,
+    `${GATEWAY}/tables/restore_grace_period.js`,
     'const isRead = await readWhole();',
     'const isRead = true;',
     HOSTS,
@@ -51,7 +51,7 @@
   ],
   [
     'restore: leaving endpoints are remembered',
-    `${GATEWAY}/services/leaving_starts.js`,
+    `${GATEWAY}/services/leaving_instances.js`,
     'return this.instanceIds.has(instanceId);',
     'return false;',
     HOSTS,
