--- a/packages/decisions/src/advertised_limit.ts
+++ b/packages/decisions/src/advertised_limit.ts
@@ -43,11 +43,11 @@
  * @param before The rate enforced so far; undefined without one.
  */
 export function computeEnforcedRate(
-  named: AdvertisedLimit,
+  limit: AdvertisedLimit,
   before: number | undefined,
 ): number {
-  if (named.kind === 'unreadable') return before ?? UNREADABLE_PER_SECOND;
-  const {perSecond} = named;
+  if (limit.kind === 'unreadable') return before ?? UNREADABLE_PER_SECOND;
+  const {perSecond} = limit;
   return Math.min(MAX_PER_SECOND, Math.max(MIN_PER_SECOND, perSecond));
 }
 
--- a/packages/decisions/src/membership_view.ts
+++ b/packages/decisions/src/membership_view.ts
@@ -222,11 +222,15 @@
    */
   private endRefusing(member: Member, note: MemberNote, now: number): void {
     const isSame = note.incarnation === member.note.incarnation;
-    const contradicts = member.isRefusing && isSame && note.state !== 'dead';
-    if (contradicts) member.refusalsFrom = now + this.times.suspectAfterMs;
+    const isRefuted = member.isRefusing && isSame && note.state !== 'dead';
+    if (isRefuted) member.refusalsFrom = now + this.times.suspectAfterMs;
     member.isRefusing = false;
   }
 
+  /**
+   * Handles a record about this host from others. Returns the own record if it
+   * has to be passed on to refute an outdated or wrong one.
+   */
   private correctSelf(note: MemberNote): MemberNote | undefined {
     const ours = this.own;
     if (note.incarnation > ours.incarnation) return undefined;
@@ -243,14 +247,14 @@
   ): MemberState | 'forget' | undefined {
     const {state} = member.note;
     const {suspectAfterMs, forgetAfterMs} = this.times;
-    const inState = now - member.since;
+    const inStateMs = now - member.since;
     if (state === 'dead') {
-      return inState < forgetAfterMs ? undefined : 'forget';
+      return inStateMs < forgetAfterMs ? undefined : 'forget';
     }
     if (state === 'suspect') {
       const {deadAfterMs, goneAfterMs} = this.times;
-      const limitMs = member.isRefusing ? goneAfterMs : deadAfterMs;
-      return inState >= limitMs ? 'dead' : undefined;
+      const timeoutMs = member.isRefusing ? goneAfterMs : deadAfterMs;
+      return inStateMs >= timeoutMs ? 'dead' : undefined;
     }
     const heardAt = this.heardAt.get(member.note.hostId);
     if (heardAt === undefined) return undefined;
--- a/packages/decisions/src/permit_issuer.ts
+++ b/packages/decisions/src/permit_issuer.ts
@@ -2,7 +2,7 @@
  * Chooses the host that grants the permits of a rate-limited endpoint (the
  * issuer), and the share of the limit that it may grant. All hosts derive the
  * same issuer from the names of the live hosts by rendezvous hashing, without
- * coordination. Each limited endpoint has a different issuer, and a high limit
+ * coordination. Different endpoints have different issuers, and a high limit
  * has several, so the load is spread.
  *
  * Hosts may briefly disagree on who is alive, so that two of them grant
@@ -25,7 +25,7 @@
  * With it, both sides of a partition together exceed the limit by a quarter at
  * most.
  */
-const MINOR_SIDE_PART = 0.5;
+const MINOR_SIDE_FRACTION = 0.5;
 
 /** The hosts that one host knows. */
 export interface IssuerHosts {
@@ -85,7 +85,7 @@
     if (rank === -1 || rank >= count) return 0;
     const {names, possiblyAlive} = this.hosts;
     const heard = names.length / Math.max(1, possiblyAlive);
-    const share = heard > 1 / 2 ? 1 : heard * MINOR_SIDE_PART;
+    const share = heard > 1 / 2 ? 1 : heard * MINOR_SIDE_FRACTION;
     return share / count;
   }
 
--- a/packages/decisions/src/poll_stagger.ts
+++ b/packages/decisions/src/poll_stagger.ts
@@ -17,7 +17,7 @@
 /** The shortest wait of a long poll, in ms. */
 const MIN_WAIT_MS = 50;
 /** The fraction of its offset from its turn that the next poll corrects. */
-const SHIFT_PART = 0.5;
+const SHIFT_FRACTION = 0.5;
 
 /** The poll timing of one reader. */
 export class PollStagger {
@@ -56,6 +56,6 @@
 
   private getShiftMs(now: number): number {
     const behindMs = now - this.peerAnsweredAt;
-    return Math.max(-this.turnMs, this.turnMs - behindMs) * SHIFT_PART;
+    return Math.max(-this.turnMs, this.turnMs - behindMs) * SHIFT_FRACTION;
   }
 }
--- a/packages/decisions/src/rollout_plan.ts
+++ b/packages/decisions/src/rollout_plan.ts
@@ -54,16 +54,16 @@
 }
 
 /** The fraction of the bound for the trial; the rest is for the switch. */
-const TRIAL_PART = 0.4;
+const TRIAL_FRACTION = 0.4;
 /** The fraction of the bound to use at all, as counts of hosts arrive late. */
-const USED_PART = 0.8;
+const USED_FRACTION = 0.8;
 /** Requests to the new version before all go there without a verdict. */
 const MIN_TRIALS = 20;
 /**
  * The fraction of the duration after which fewer trial requests are enough:
  * services with few requests never reach the minimum.
  */
-const LATE_PART = 0.85;
+const LATE_FRACTION = 0.85;
 
 /** Decides the next phase. */
 export function decideNextPhase(view: RolloutView): RolloutPhase {
@@ -81,7 +81,7 @@
 function isMoveAllowed(view: RolloutView): boolean {
   const {elapsedMs, durationMs, trialSends, newEndpoints, verdict} = view;
   if (newEndpoints === 0 || trialSends === 0) return false;
-  const isLate = elapsedMs >= LATE_PART * durationMs;
+  const isLate = elapsedMs >= LATE_FRACTION * durationMs;
   const isTried = verdict === 'sound' || trialSends >= MIN_TRIALS;
   if (!isTried && !isLate) return false;
   return elapsedMs >= durationMs || hasRoomToMove(view);
@@ -93,7 +93,7 @@
   const rate = requests / Math.max(1, elapsedMs);
   const later = rate * (durationMs - elapsedMs);
   const bound = bounds.share * (requests + later) + bounds.slack;
-  return trialSends + later <= USED_PART * bound;
+  return trialSends + later <= USED_FRACTION * bound;
 }
 
 /**
@@ -110,7 +110,7 @@
   hosts: number,
 ): number {
   const {share, slack} = bounds;
-  return TRIAL_PART * (share * ownRequests + slack / Math.max(1, hosts));
+  return TRIAL_FRACTION * (share * ownRequests + slack / Math.max(1, hosts));
 }
 
 /** The most new endpoints that a trial uses. */
@@ -125,7 +125,7 @@
   bounds: ExposureBounds,
   newEndpoints: number,
 ): number {
-  const loaded = Math.ceil(newEndpoints * bounds.share * TRIAL_PART);
+  const loaded = Math.ceil(newEndpoints * bounds.share * TRIAL_FRACTION);
   return Math.min(newEndpoints, clamp(loaded, 2, MAX_TRIAL_ENDPOINTS));
 }
 
--- a/packages/decisions/src/rollout_verdict.ts
+++ b/packages/decisions/src/rollout_verdict.ts
@@ -10,7 +10,7 @@
  * version has the same rate of bad answers as the previous one, or a fifth of
  * its good answers turned bad. In 200 seeded trials of each of 9 kinds, it
  * rejects at most one good version within 400 answers, and detects at least 198
- * versions with 40% bad answers within 40 answers.
+ * of the versions with 40% bad answers within 40 answers.
  */
 
 /** Counts of answers. */
@@ -32,7 +32,7 @@
 export type VersionVerdict = 'bad' | 'open' | 'sound';
 
 /** The fraction of good answers that a bad version turns into bad ones. */
-const WORSE_PART = 0.2;
+const WORSE_FRACTION = 0.2;
 /** The assumed minimum rate of bad answers of any version. */
 const MIN_BAD_RATE = 0.01;
 /**
@@ -73,7 +73,7 @@
   // Adds half an answer of each kind, so that few answers carry little weight.
   const usual = (before.bad + 0.5) / (before.answers + 1);
   const sound = Math.max(MIN_BAD_RATE, usual);
-  const worse = sound + (1 - sound) * WORSE_PART;
+  const worse = sound + (1 - sound) * WORSE_FRACTION;
   const forBad = Math.log(worse / sound);
   const forSound = Math.log((1 - worse) / (1 - sound));
   const parts = new Map<string, number>();
--- a/packages/decisions/src/silence_limits.ts
+++ b/packages/decisions/src/silence_limits.ts
@@ -38,9 +38,9 @@
  * the resumption elsewhere (20 to 110 ms) fit into the target, with a third of
  * it to spare.
  */
-const PROBE_AFTER_PART = 0.28;
-const PROBE_TIMEOUT_PART = 0.21;
-const LOST_AFTER_PART = 0.8;
+const PROBE_AFTER_FRACTION = 0.28;
+const PROBE_TIMEOUT_FRACTION = 0.21;
+const LOST_AFTER_FRACTION = 0.8;
 /** The shortest probe timeout, in ms: a busy host sees answers this late. */
 const MIN_PROBE_TIMEOUT_MS = 80;
 /** Multiples of the usual gap that are normal variation, not a loss. */
@@ -51,22 +51,22 @@
  * within a third of it; a loss detected then leaves time for another prefill.
  * Probes aren't more frequent, as most of them need a new connection.
  */
-const FIRST_PROBE_PART = 0.27;
-const PROBE_INTERVAL_PART = 0.13;
+const FIRST_PROBE_FRACTION = 0.27;
+const PROBE_INTERVAL_FRACTION = 0.13;
 
 /** Computes the limits of a stream from an engine. */
 export function computeSilenceLimits(targets: SilenceTargets): SilenceLimits {
   const {targetGapMs = DEFAULT_GAP_MS, targetLatencyMs, usualGapMs} = targets;
   const probeAfterMs = Math.max(
-    PROBE_AFTER_PART * targetGapMs,
+    PROBE_AFTER_FRACTION * targetGapMs,
     PROBE_AFTER_GAPS * usualGapMs,
   );
   const probeTimeoutMs = Math.max(
-    PROBE_TIMEOUT_PART * targetGapMs,
+    PROBE_TIMEOUT_FRACTION * targetGapMs,
     MIN_PROBE_TIMEOUT_MS,
   );
   const lostAfterMs = Math.max(
-    LOST_AFTER_PART * targetGapMs,
+    LOST_AFTER_FRACTION * targetGapMs,
     LOST_AFTER_GAPS * usualGapMs,
     probeAfterMs + probeTimeoutMs,
   );
@@ -74,7 +74,7 @@
     probeAfterMs,
     probeTimeoutMs,
     lostAfterMs,
-    firstProbeAfterMs: FIRST_PROBE_PART * targetLatencyMs,
-    probeIntervalMs: PROBE_INTERVAL_PART * targetLatencyMs,
+    firstProbeAfterMs: FIRST_PROBE_FRACTION * targetLatencyMs,
+    probeIntervalMs: PROBE_INTERVAL_FRACTION * targetLatencyMs,
   };
 }
--- a/packages/decisions/src/suspension_detector.ts
+++ b/packages/decisions/src/suspension_detector.ts
@@ -29,10 +29,10 @@
 /** The shortest suspension to detect, in ms; less may be a message's delay. */
 const MIN_SUSPENSION_MS = 400;
 /**
- * How long a report of one host waits for a second witness, and the least time
- * for which the previous largest lead is kept beside the new one, in ms; it is
- * kept for twice that at most. Messages sent during the suspension are read
- * first, and each of them shows a little more of it than the one before.
+ * How long the reading of one host waits for a second witness, in ms. New
+ * readings are also compared with the largest lead of at least this long ago,
+ * and at most twice that. Messages sent during a suspension are read first, and
+ * each of them shows only a little more of it than the one before.
  */
 const WITNESS_MS = 2000;
 /** The largest difference between witnesses that agree, in ms. */
@@ -142,7 +142,8 @@
   }
 
   private decideLength(witness: Witness, wallGrowth: number): number {
-    // The wall clock counts suspensions; without growth, messages were late.
+    // The wall clock counts suspensions; if it agrees with the local clock,
+    // messages were late before.
     if (Math.abs(wallGrowth) < AGREEMENT_MS) return 0;
     if (wallGrowth >= witness.ms - AGREEMENT_MS) return witness.ms;
     // The wall clock was set meanwhile, so a second host has to agree.
--- a/packages/decisions/src/wait_estimate.ts
+++ b/packages/decisions/src/wait_estimate.ts
@@ -7,8 +7,8 @@
 /** The weight of a new gap in the moving average. */
 const GAP_WEIGHT = 0.1;
 /**
- * A pause since the last departure of more than this many mean gaps replaces
- * the mean gap in the estimate, at this fraction of its length.
+ * Divides the pause since the last departure; if the quotient exceeds the mean
+ * gap, it replaces it, as such a pause says more than the past rate.
  */
 const PAUSE_FACTOR = 3;
 /** Bounds of `Retry-After`, in seconds. */
--- a/packages/decisions/tests/request_owner.test.ts
+++ b/packages/decisions/tests/request_owner.test.ts
@@ -95,7 +95,7 @@
 /** An event in a simulation of several hosts. */
 type Step =
   | {
-      readonly kind: 'believe';
+      readonly kind: 'observe-owner';
       readonly host: number;
       readonly live: string | undefined;
     }
@@ -108,7 +108,7 @@
     fc.record({kind: fc.constant('send' as const), host: fc.nat(2)}),
     fc.record({kind: fc.constant('restart' as const), host: fc.nat(2)}),
     fc.record({
-      kind: fc.constant('believe' as const),
+      kind: fc.constant('observe-owner' as const),
       host: fc.nat(2),
       // The owner's incarnation as the host sees it; may be wrong.
       live: fc.constantFrom('1', '2', undefined),
@@ -148,7 +148,7 @@
       host.incarnation++;
       host.ledger = new Map();
     }
-    if (step.kind === 'believe') host.liveOwner = step.live;
+    if (step.kind === 'observe-owner') host.liveOwner = step.live;
     if (step.kind !== 'send') continue;
     const startedAt = host.ledger.get(id);
     // The ledger drops an entry a minute after its id has expired.
--- a/packages/decisions/tests/store_revision.test.ts
+++ b/packages/decisions/tests/store_revision.test.ts
@@ -111,8 +111,8 @@
     assert.deepEqual(changed, ['b', 'c']);
     assert.ok(replica.lastChange > revision);
     // A replica with all changes up to the restored one receives both rows.
-    const given = replica.listAfter(revision)?.map(({key}) => key);
-    assert.deepEqual(given?.sort(), ['b', 'c']);
+    const listed = replica.listAfter(revision)?.map(({key}) => key);
+    assert.deepEqual(listed?.sort(), ['b', 'c']);
   });
 
   it('is settled by a full read even if later changes were applied', () => {
@@ -125,8 +125,8 @@
     const held = replica.lastChange;
     replica.applySettled(restored, revision);
     assert.deepEqual(listKeys(replica), ['a', 'c', 'd', 'e']);
-    const given = replica.listAfter(held)?.map(({key}) => key);
-    assert.deepEqual(given?.sort(), ['b', 'c']);
+    const listed = replica.listAfter(held)?.map(({key}) => key);
+    assert.deepEqual(listed?.sort(), ['b', 'c']);
   });
 
   it('keeps deletions made after the full read that settles it', () => {
--- a/scripts/change_trials.mjs
+++ b/scripts/change_trials.mjs
@@ -34,8 +34,8 @@
   [
     'change: readers keep their turns apart',
     `${DECISIONS}/poll_stagger.js`,
-    'SHIFT_PART = 0.5',
-    'SHIFT_PART = 0',
+    'SHIFT_FRACTION = 0.5',
+    'SHIFT_FRACTION = 0',
     FLEET,
     'calls of three readers only',
   ],
--- a/scripts/limit_trials.mjs
+++ b/scripts/limit_trials.mjs
@@ -58,7 +58,7 @@
   [
     'limit: a small side of a cut gives a small part',
     `${DECISIONS}/permit_issuer.js`,
-    'heard * MINOR_SIDE_PART',
+    'heard * MINOR_SIDE_FRACTION',
     '1',
     PURE,
     'both sides of a partition',
