--- a/packages/decisions/src/loss_response.ts
+++ b/packages/decisions/src/loss_response.ts
@@ -6,7 +6,7 @@
 
 /** How a stream was lost. */
 export type LossKind =
-  /** A token or the end before the last token was missing. */
+  /** The stream skipped a token or ended before the last one. */
   | 'gap'
   /** The engine doesn't know the generation. */
   | 'gone'
@@ -32,7 +32,7 @@
   readonly mayContinue: boolean;
   /** Attempts to attach to this engine since the last token passed on. */
   readonly attachAttempts: number;
-  /** Losses that count since the last token passed on. */
+  /** Counted losses since the last token passed on. */
   readonly losses: number;
   /** Whether the retry budget allows another attempt. */
   readonly hasRetryBudget: boolean;
--- a/packages/decisions/src/order_plan.ts
+++ b/packages/decisions/src/order_plan.ts
@@ -38,33 +38,34 @@
 
 /** Plans at most `maxLoads` loads, or the drops if nothing is to be loaded. */
 export function planOrders(
-  wanted: readonly DesiredLoads[],
+  desired: readonly DesiredLoads[],
   maxLoads: number,
 ): PlannedOrder[] {
-  const byNeed = [...wanted].sort(
+  const byPriority = [...desired].sort(
     (a, b) =>
-      computeNeed(b) - computeNeed(a) || (a.service < b.service ? -1 : 1),
+      computePriority(b) - computePriority(a) ||
+      (a.service < b.service ? -1 : 1),
   );
-  const loads = byNeed.flatMap(planLoads);
+  const loads = byPriority.flatMap(planLoads);
   if (loads.length > 0) return loads.slice(0, maxLoads);
-  return byNeed.flatMap(planDrops);
+  return byPriority.flatMap(planDrops);
 }
 
 /** Computes demand per ready endpoint; a service without one comes first. */
-function computeNeed(wanted: DesiredLoads): number {
-  const ready = wanted.endpoints.filter((e) => isReady(e, wanted)).length;
-  return (wanted.demand + 1) / (ready === 0 ? 1e-3 : ready);
+function computePriority(desired: DesiredLoads): number {
+  const ready = desired.endpoints.filter((e) => isReady(e, desired)).length;
+  return (desired.demand + 1) / (ready === 0 ? 1e-3 : ready);
 }
 
-function planLoads(wanted: DesiredLoads): PlannedOrder[] {
+function planLoads(desired: DesiredLoads): PlannedOrder[] {
   const orders: PlannedOrder[] = [];
-  for (const endpoint of listTargets(wanted)) {
+  for (const endpoint of listTargets(desired)) {
     const {address} = endpoint;
-    for (const target of wanted.models) {
+    for (const target of desired.models) {
       if (endpoint.models.includes(target)) continue;
       orders.push({address, action: 'load_model', target});
     }
-    for (const target of wanted.adapters) {
+    for (const target of desired.adapters) {
       if (endpoint.adapters.includes(target)) continue;
       orders.push({address, action: 'load_adapter', target});
     }
@@ -72,18 +73,18 @@
   return orders;
 }
 
-function planDrops(wanted: DesiredLoads): PlannedOrder[] {
-  const targets = new Set(listTargets(wanted));
+function planDrops(desired: DesiredLoads): PlannedOrder[] {
+  const targets = new Set(listTargets(desired));
   const orders: PlannedOrder[] = [];
-  for (const endpoint of wanted.endpoints) {
+  for (const endpoint of desired.endpoints) {
     const {address} = endpoint;
     const keeps = targets.has(endpoint);
     for (const target of endpoint.models) {
-      if (keeps && wanted.models.includes(target)) continue;
+      if (keeps && desired.models.includes(target)) continue;
       orders.push({address, action: 'drop_model', target});
     }
     for (const target of endpoint.adapters) {
-      if (keeps && wanted.adapters.includes(target)) continue;
+      if (keeps && desired.adapters.includes(target)) continue;
       orders.push({address, action: 'drop_adapter', target});
     }
   }
@@ -91,18 +92,18 @@
 }
 
 /** Lists the endpoints to use, ready ones first, so that few loads change. */
-function listTargets(wanted: DesiredLoads): LoadedEndpoint[] {
-  const sorted = [...wanted.endpoints].sort((a, b) => {
-    const ready = Number(isReady(b, wanted)) - Number(isReady(a, wanted));
+function listTargets(desired: DesiredLoads): LoadedEndpoint[] {
+  const sorted = [...desired.endpoints].sort((a, b) => {
+    const ready = Number(isReady(b, desired)) - Number(isReady(a, desired));
     return ready !== 0 ? ready : a.address < b.address ? -1 : 1;
   });
-  const {replicas} = wanted;
+  const {replicas} = desired;
   return replicas === 0 ? sorted : sorted.slice(0, replicas);
 }
 
-function isReady(endpoint: LoadedEndpoint, wanted: DesiredLoads): boolean {
+function isReady(endpoint: LoadedEndpoint, desired: DesiredLoads): boolean {
   return (
-    wanted.models.every((name) => endpoint.models.includes(name)) &&
-    wanted.adapters.every((name) => endpoint.adapters.includes(name))
+    desired.models.every((name) => endpoint.models.includes(name)) &&
+    desired.adapters.every((name) => endpoint.adapters.includes(name))
   );
 }
--- a/packages/decisions/src/reader_reports.ts
+++ b/packages/decisions/src/reader_reports.ts
@@ -40,7 +40,7 @@
 export class ReaderReports {
   private readonly kept = new Map<string, KeptReport>();
 
-  /** Accepts a report unless the known one of the same host is as new. */
+  /** Accepts a report if it is newer than the known one of the same host. */
   accept(report: ReaderReport, now: number): void {
     const known = this.kept.get(report.name)?.report;
     const order =
--- a/packages/decisions/src/table_replica.ts
+++ b/packages/decisions/src/table_replica.ts
@@ -45,7 +45,11 @@
     return this.loaded;
   }
 
-  /** Applies consecutive changes; returns those that changed a value. */
+  /**
+   * Applies consecutive changes; returns those that changed a value.
+   *
+   * @param revision The replica is complete up to this revision afterwards.
+   */
   applyChanges(changes: readonly ReplicaRow[], revision: number): ReplicaRow[] {
     const applied: ReplicaRow[] = [];
     this.known = Math.max(this.known, revision);
