--- a/packages/decisions/src/order_plan.ts
+++ b/packages/decisions/src/order_plan.ts
@@ -1,69 +1,71 @@
 /**
- * Which orders the endpoints of a service need, so that what is loaded
- * follows what was declared. What most requests wait for goes first, and no
- * more loads are under way than the weight store can feed.
- * docs/design/orders.md.
+ * Plans the orders that bring the models and adapters loaded on endpoints in
+ * line with the declared ones. Services with the highest demand per ready
+ * endpoint come first, and the number of loads at a time is bounded by what the
+ * weight store can deliver. See docs/design/orders.md.
  */
 
-/** What an endpoint has, by its own word. */
+/** The models and adapters that an endpoint reports as loaded. */
 export interface LoadedEndpoint {
   readonly address: string;
   readonly models: readonly string[];
   readonly adapters: readonly string[];
 }
 
-/** What a service's endpoints should have. */
+/** The models and adapters that a service's endpoints should have loaded. */
 export interface DesiredLoads {
   readonly service: string;
   readonly models: readonly string[];
   readonly adapters: readonly string[];
-  /** How many endpoints should have it; 0 is all. */
+  /** How many endpoints should have them loaded; 0 for all. */
   readonly replicas: number;
-  /** Requests that wait for the service. */
+  /** Waiting requests of the service. */
   readonly demand: number;
   readonly endpoints: readonly LoadedEndpoint[];
 }
 
-/** What an order does. */
+/** The action of an order. */
 export type OrderAction =
   'drop_adapter' | 'drop_model' | 'load_adapter' | 'load_model';
 
-/** An order to give. */
+/** An order to send to an endpoint. */
 export interface PlannedOrder {
   readonly address: string;
   readonly action: OrderAction;
+  /** The model or adapter to load or drop. */
   readonly target: string;
 }
 
-/** Plans at most `maxLoads` loads; drops follow once loads are done. */
+/** Plans at most `maxLoads` loads, or the drops if nothing is to be loaded. */
 export function planOrders(
-  wanted: readonly DesiredLoads[],
+  desired: readonly DesiredLoads[],
   maxLoads: number,
 ): PlannedOrder[] {
-  const byNeed = [...wanted].sort(
+  const byPriority = [...desired].sort(
     (a, b) =>
-      computeNeed(b) - computeNeed(a) || (a.service < b.service ? -1 : 1),
+      computePriority(b) - computePriority(a) ||
+      (a.service < b.service ? -1 : 1),
   );
-  const loads = byNeed.flatMap(planLoads);
+  const loads = byPriority.flatMap(planLoads);
   if (loads.length > 0) return loads.slice(0, maxLoads);
-  return byNeed.flatMap(planDrops);
+  return byPriority.flatMap(planDrops);
 }
 
-/** Demand per endpoint that is ready; a service with none is first. */
-function computeNeed(wanted: DesiredLoads): number {
-  const ready = wanted.endpoints.filter((e) => isReady(e, wanted)).length;
-  return (wanted.demand + 1) / (ready === 0 ? 1e-3 : ready);
+/** Computes demand per ready endpoint; a service without one comes first. */
+function computePriority(desired: DesiredLoads): number {
+  const ready = desired.endpoints.filter((e) => isReady(e, desired)).length;
+  return (desired.demand + 1) / (ready === 0 ? 1e-3 : ready);
 }
 
-function planLoads(wanted: DesiredLoads): PlannedOrder[] {
+function planLoads(desired: DesiredLoads): PlannedOrder[] {
   const orders: PlannedOrder[] = [];
-  for (const endpoint of listTargets(wanted)) {
+  for (const endpoint of listTargets(desired)) {
     const {address} = endpoint;
-    for (const target of wanted.models) {
+    for (const target of desired.models) {
       if (endpoint.models.includes(target)) continue;
       orders.push({address, action: 'load_model', target});
     }
-    for (const target of wanted.adapters) {
+    for (const target of desired.adapters) {
       if (endpoint.adapters.includes(target)) continue;
       orders.push({address, action: 'load_adapter', target});
     }
@@ -71,37 +73,37 @@
   return orders;
 }
 
-function planDrops(wanted: DesiredLoads): PlannedOrder[] {
-  const targets = new Set(listTargets(wanted));
+function planDrops(desired: DesiredLoads): PlannedOrder[] {
+  const targets = new Set(listTargets(desired));
   const orders: PlannedOrder[] = [];
-  for (const endpoint of wanted.endpoints) {
+  for (const endpoint of desired.endpoints) {
     const {address} = endpoint;
     const keeps = targets.has(endpoint);
     for (const target of endpoint.models) {
-      if (keeps && wanted.models.includes(target)) continue;
+      if (keeps && desired.models.includes(target)) continue;
       orders.push({address, action: 'drop_model', target});
     }
     for (const target of endpoint.adapters) {
-      if (keeps && wanted.adapters.includes(target)) continue;
+      if (keeps && desired.adapters.includes(target)) continue;
       orders.push({address, action: 'drop_adapter', target});
     }
   }
   return orders;
 }
 
-/** Those that have it already go first, so that little is moved. */
-function listTargets(wanted: DesiredLoads): LoadedEndpoint[] {
-  const sorted = [...wanted.endpoints].sort((a, b) => {
-    const ready = Number(isReady(b, wanted)) - Number(isReady(a, wanted));
+/** Lists the endpoints to use, ready ones first, so that few loads change. */
+function listTargets(desired: DesiredLoads): LoadedEndpoint[] {
+  const sorted = [...desired.endpoints].sort((a, b) => {
+    const ready = Number(isReady(b, desired)) - Number(isReady(a, desired));
     return ready !== 0 ? ready : a.address < b.address ? -1 : 1;
   });
-  const {replicas} = wanted;
+  const {replicas} = desired;
   return replicas === 0 ? sorted : sorted.slice(0, replicas);
 }
 
-function isReady(endpoint: LoadedEndpoint, wanted: DesiredLoads): boolean {
+function isReady(endpoint: LoadedEndpoint, desired: DesiredLoads): boolean {
   return (
-    wanted.models.every((name) => endpoint.models.includes(name)) &&
-    wanted.adapters.every((name) => endpoint.adapters.includes(name))
+    desired.models.every((name) => endpoint.models.includes(name)) &&
+    desired.adapters.every((name) => endpoint.adapters.includes(name))
   );
 }
