--- a/packages/decisions/src/crash_ledger.ts
+++ b/packages/decisions/src/crash_ledger.ts
@@ -1,74 +1,76 @@
 /**
- * Which contents end the endpoints that run them. A content is what makes two
- * requests the same one for whoever runs them; a crash is an endpoint that ended
- * while it ran a content. Three crashes are enough to refuse a content; what
- * ran beside it on the same endpoints must be served all the same.
+ * Decides which request contents crash the endpoints that run them. Requests
+ * with equal content are the same request to an endpoint. A crash is an
+ * endpoint instance (one start of an endpoint's process) that ended while it
+ * ran a content. Three crashes are enough to refuse a content, but contents
+ * that merely ran on the same instances must still be served.
  *
- * So a crash counts for a content by what else ran there: in full when all the
- * others there are less suspect, half beside one that is as suspect, and not at
- * all beside one that is more. Less suspect is what has fewer crashes without
- * another suspect, then what has fewer crashes. The number of crashes alone does
- * not decide: a sound content that ran beside two bad ones has more than either.
+ * Each crash is therefore weighted by what else ran on the instance: 1 if every
+ * other content there is less suspect, one half if one is equally suspect, and
+ * 0 if one is more suspect. Suspicion is ordered by the number of crashes
+ * without another suspect, then by the number of all crashes. The number of all
+ * crashes alone is not enough: a sound content that ran next to two bad ones
+ * has more crashes than either of them.
  *
- * A content is refused only if one of its crashes had no other suspect. Suspects
- * run apart, so the next run of a bad content gives that evidence, and a sound
- * one is run to its end. Whatever else counts, no content ends more than six
- * endpoints.
+ * A content is refused only if it was the sole suspect in at least one crash.
+ * Suspected contents run isolated from each other, so the next run either
+ * provides that evidence or completes. Regardless of the weights, a content
+ * never ends more than six endpoint instances.
  *
- * Crashes are known by content and start of an endpoint, so those of several
- * hosts add up in any order, and one that is told twice counts once.
+ * A crash is identified by content and endpoint instance. Reports of several
+ * hosts can therefore be merged in any order, and duplicates count once.
  */
 
-/** Crashes that count before a content is refused. */
+/** Weighted number of crashes from which a content is refused. */
 export const REFUSAL_THRESHOLD = 3;
 /**
- * Crashes from which on a content is refused whatever ran beside it: the three
- * runs that the users' rules allow after the third crash.
+ * Number of crashes from which a content is refused whatever ran beside it. The
+ * requirements allow three further runs after the third crash.
  */
 export const MAX_CRASHES = 6;
-/** Crashes from which on a content is a suspect to what ran beside it. */
-const SUSPECT_FROM = 2;
-/** What a crash counts beside a content that is as suspect. */
-const TIE_WEIGHT = 0.5;
+/** Crashes from which a content is a suspect in the crashes of others. */
+const SUSPECT_THRESHOLD = 2;
+/** Weight of a crash that is shared with an equally suspect content. */
+const SHARED_CRASH_WEIGHT = 0.5;
 
-/** An endpoint that ended while it ran a content. */
+/** An endpoint instance that ended while it ran a content. */
 export interface Crash {
-  /** The name of the content. */
+  /** The key of the content. */
   readonly content: string;
-  /** The start of the endpoint. */
+  /** The endpoint instance: one start of the endpoint's process. */
   readonly instanceId: string;
 }
 
-/** What is done with a content. */
+/** How requests with a content are handled. */
 export type ContentVerdict =
-  /** Nothing is known of it. */
+  /** No crash is recorded; the content is served normally. */
   | 'clear'
-  /** It is not run any more. */
+  /** It is no longer run. */
   | 'refused'
-  /** It runs apart from others. */
+  /** It runs isolated from other suspects. */
   | 'suspected';
 
-/** Bounds of what is remembered. */
+/** Limits of a crash ledger. */
 export interface CrashLedgerOptions {
-  /** How long a content is remembered after its last crash, in ms. */
+  /** How long a content is kept after its last crash, in ms. */
   readonly keepMs: number;
-  /** Contents remembered; the one without a crash for longest gives way. */
+  /** Contents kept; the one whose last crash is oldest is dropped first. */
   readonly maxContents: number;
 }
 
-/** A content that is remembered. */
+/** The recorded crashes of one content. */
 export interface ContentCrashes {
   readonly content: string;
-  /** The starts of the endpoints that ended, in the order of learning. */
+  /** The endpoint instances that ended, in the order they were recorded. */
   readonly instanceIds: readonly string[];
-  /** When the last crash was learned of, on the monotonic clock. */
+  /** When the last crash was recorded, in ms on the monotonic clock. */
   readonly lastAt: number;
 }
 
-/** How suspect a content is; compared in this order. */
+/** How suspect a content is; compared field by field in this order. */
 interface Suspicion {
-  /** Crashes without another suspect. */
-  readonly unshared: number;
+  /** Crashes without another suspect on the instance. */
+  readonly soleSuspectCrashes: number;
   readonly crashes: number;
 }
 
@@ -77,21 +79,24 @@
   lastAt: number;
 }
 
-/** Remembers crashes. */
+/** Records crashes and decides how each content is handled. */
 export class CrashLedger {
-  /** In the order of their last crash. */
+  /** By content, in the order of the last crash. */
   private readonly entries = new Map<string, Entry>();
-  /** The contents that a start ended under. */
-  private readonly contentsAt = new Map<string, Set<string>>();
+  /** The contents that ran on each instance when it ended. */
+  private readonly contentsByInstance = new Map<string, Set<string>>();
 
   constructor(private readonly options: CrashLedgerOptions) {}
 
-  /** The number of contents that are remembered. */
+  /** The number of contents with recorded crashes. */
   get size(): number {
     return this.entries.size;
   }
 
-  /** Takes a crash; false when it was known, or enough are. */
+  /**
+   * Records a crash; false if it is already known or the content has reached
+   * the maximum number of crashes.
+   */
   add({content, instanceId}: Crash, now: number): boolean {
     const entry = this.entries.get(content) ?? {
       instanceIds: new Set<string>(),
@@ -104,13 +109,14 @@
     entry.lastAt = now;
     this.entries.delete(content);
     this.entries.set(content, entry);
-    const contents = this.contentsAt.get(instanceId) ?? new Set<string>();
-    this.contentsAt.set(instanceId, contents.add(content));
-    this.dropBeyond();
+    const contents =
+      this.contentsByInstance.get(instanceId) ?? new Set<string>();
+    this.contentsByInstance.set(instanceId, contents.add(content));
+    this.dropExcess();
     return true;
   }
 
-  /** Says what is done with a content. */
+  /** Decides how requests with a content are handled. */
   decide(content: string): ContentVerdict {
     const entry = this.entries.get(content);
     if (entry === undefined) return 'clear';
@@ -118,20 +124,24 @@
     if (size >= MAX_CRASHES) return 'refused';
     if (size < REFUSAL_THRESHOLD) return 'suspected';
     const suspicion = this.computeSuspicion(content);
-    if (suspicion.unshared === 0) return 'suspected';
-    let counted = 0;
+    if (suspicion.soleSuspectCrashes === 0) return 'suspected';
+    let weightedCrashes = 0;
     for (const instanceId of entry.instanceIds) {
-      counted += this.computeWeight(content, suspicion, instanceId);
+      weightedCrashes += this.computeCrashWeight(
+        content,
+        suspicion,
+        instanceId,
+      );
     }
-    return counted >= REFUSAL_THRESHOLD ? 'refused' : 'suspected';
+    return weightedCrashes >= REFUSAL_THRESHOLD ? 'refused' : 'suspected';
   }
 
-  /** Whether a start of an endpoint ended while it ran a known content. */
+  /** Whether a recorded crash ended this endpoint instance. */
   hasCrashed(instanceId: string): boolean {
-    return this.contentsAt.has(instanceId);
+    return this.contentsByInstance.has(instanceId);
   }
 
-  /** Gives the number of crashes of a content. */
+  /** Returns the number of crashes of a content. */
   countCrashes(content: string): number {
     return this.entries.get(content)?.instanceIds.size ?? 0;
   }
@@ -142,7 +152,7 @@
     return [...instanceIds].map((instanceId) => ({content, instanceId}));
   }
 
-  /** Lists all contents that are remembered. */
+  /** Lists all contents with recorded crashes. */
   listContents(): ContentCrashes[] {
     return [...this.entries].map(([content, {instanceIds, lastAt}]) => ({
       content,
@@ -151,29 +161,29 @@
     }));
   }
 
-  /** Forgets a content. */
+  /** Drops a content with all its crashes. */
   drop(content: string): void {
     const entry = this.entries.get(content);
     if (entry === undefined) return;
     this.entries.delete(content);
     for (const instanceId of entry.instanceIds) {
-      const contents = this.contentsAt.get(instanceId);
+      const contents = this.contentsByInstance.get(instanceId);
       contents?.delete(content);
-      if (contents?.size === 0) this.contentsAt.delete(instanceId);
+      if (contents?.size === 0) this.contentsByInstance.delete(instanceId);
     }
   }
 
-  /** Forgets one crash of a content. */
+  /** Drops one crash of a content. */
   dropCrash({content, instanceId}: Crash): void {
     const entry = this.entries.get(content);
     if (entry?.instanceIds.delete(instanceId) !== true) return;
-    const contents = this.contentsAt.get(instanceId);
+    const contents = this.contentsByInstance.get(instanceId);
     contents?.delete(content);
-    if (contents?.size === 0) this.contentsAt.delete(instanceId);
+    if (contents?.size === 0) this.contentsByInstance.delete(instanceId);
     if (entry.instanceIds.size === 0) this.entries.delete(content);
   }
 
-  /** Forgets the contents without a crash for long, and gives their names. */
+  /** Drops contents whose last crash has expired; returns their keys. */
   dropExpired(now: number): string[] {
     const expired: string[] = [];
     for (const [content, {lastAt}] of this.entries) {
@@ -184,52 +194,57 @@
     return expired;
   }
 
-  private computeWeight(
+  /** Returns how much the crash of one instance counts against a content. */
+  private computeCrashWeight(
     content: string,
     suspicion: Suspicion,
     instanceId: string,
   ): number {
     let weight = 1;
-    for (const other of this.listOthers(content, instanceId)) {
-      const order = compareSuspicions(this.computeSuspicion(other), suspicion);
-      if (order > 0) return 0;
-      if (order === 0) weight = TIE_WEIGHT;
+    for (const other of this.listOtherContents(content, instanceId)) {
+      const comparison = compareSuspicions(
+        this.computeSuspicion(other),
+        suspicion,
+      );
+      if (comparison > 0) return 0;
+      if (comparison === 0) weight = SHARED_CRASH_WEIGHT;
     }
     return weight;
   }
 
   private computeSuspicion(content: string): Suspicion {
     const instanceIds = this.entries.get(content)?.instanceIds ?? [];
-    let unshared = 0;
+    let soleSuspectCrashes = 0;
     let crashes = 0;
     for (const instanceId of instanceIds) {
       crashes++;
-      if (!this.hasOtherSuspect(content, instanceId)) unshared++;
+      if (!this.hasOtherSuspect(content, instanceId)) soleSuspectCrashes++;
     }
-    return {unshared, crashes};
+    return {soleSuspectCrashes, crashes};
   }
 
+  /** Whether another suspect ran on the instance when it ended. */
   private hasOtherSuspect(content: string, instanceId: string): boolean {
-    for (const other of this.listOthers(content, instanceId)) {
-      if (this.countCrashes(other) >= SUSPECT_FROM) return true;
+    for (const other of this.listOtherContents(content, instanceId)) {
+      if (this.countCrashes(other) >= SUSPECT_THRESHOLD) return true;
     }
     return false;
   }
 
-  /** Lists the other contents that a start ended under. */
-  private listOthers(content: string, instanceId: string): string[] {
-    const contents = this.contentsAt.get(instanceId) ?? [];
+  /** Lists the other contents that ran on an instance when it ended. */
+  private listOtherContents(content: string, instanceId: string): string[] {
+    const contents = this.contentsByInstance.get(instanceId) ?? [];
     return [...contents].filter((other) => other !== content);
   }
 
-  private dropBeyond(): void {
+  private dropExcess(): void {
     if (this.entries.size <= this.options.maxContents) return;
     const [oldest] = this.entries.keys();
     if (oldest !== undefined) this.drop(oldest);
   }
 }
 
-/** Positive when the first is more suspect. */
-function compareSuspicions(one: Suspicion, two: Suspicion): number {
-  return one.unshared - two.unshared || one.crashes - two.crashes;
+/** Returns a positive number if the first is more suspect. */
+function compareSuspicions(a: Suspicion, b: Suspicion): number {
+  return a.soleSuspectCrashes - b.soleSuspectCrashes || a.crashes - b.crashes;
 }
--- a/packages/decisions/src/failure_detector.ts
+++ b/packages/decisions/src/failure_detector.ts
@@ -1,12 +1,12 @@
 /**
- * How hosts keep track of each other: what a host sends in each beat, and what
- * it makes of what others send. No clock and no socket: the caller says what
- * time it is and carries the messages.
+ * Failure detection and gossip among hosts, in the manner of SWIM: what a host
+ * sends in each beat (protocol period), and how it handles received messages.
+ * Without clock and socket: the caller passes the time and carries messages.
  *
- * Each beat a host asks one or a few others whether they answer
- * (probe_schedule.ts); what changed of hosts rides along (change_queue.ts) and,
- * while it is fresh, goes to a few hosts at once. So the messages and bytes of
- * a host at rest do not grow with the number of hosts, and news reaches all
+ * In each beat a host probes one or a few others (`probe_schedule.ts`). Updates
+ * about hosts are piggybacked on these messages (`gossip_queue.ts`), and new
+ * ones are also sent to a few hosts at once. The traffic of a host at rest
+ * therefore does not grow with the number of hosts, and updates reach all hosts
  * within some round trips. docs/design/membership.md has the figures.
  */
 import {getShuffled, type Random} from '@irisdock/kernel';
@@ -24,117 +24,137 @@
 } from './host_view.js';
 import {ProbeSchedule} from './probe_schedule.js';
 
-/** What a message asks for. */
+/**
+ * The purpose of a message: to probe the receiver, to answer a probe, to have
+ * the receiver probe another host (relay), or to spread updates only (notice).
+ */
 export type GossipMessageKind = 'answer' | 'notice' | 'probe' | 'relay';
 
-/** What hosts send each other to keep track. */
+/**
+ * A message between hosts.
+ *
+ * @template P The network addresses and the failure domain of a host.
+ */
 export interface GossipMessage<P> {
   readonly kind: GossipMessageKind;
   readonly sender: HostRecord;
-  /** Where the sender is reached; undefined where it is known for sure. */
+  /** Where to reach the sender; undefined if the receiver knows it. */
   readonly place: P | undefined;
-  /** Who wants to know, when one host asks for another. */
+  /** The host for which the sender probes the receiver, if not for itself. */
   readonly asker: string | undefined;
-  /** Whom a relay is to ask; who answered, in an answer passed on. */
+  /** In a relay, the host to probe; in a forwarded answer, who answered. */
   readonly target: string | undefined;
   readonly updates: readonly HostUpdate<P>[];
-  /** Alike only where the same records are known. */
+  /** Differs between hosts that know different records. */
   readonly recordsHash: number;
 }
 
-/** A message and the host that it goes to. */
+/** A message and its receiver. */
 export interface OutgoingGossip<P> {
   readonly to: KnownHost<P>;
   readonly message: GossipMessage<P>;
 }
 
-/** The other hosts up to which several are asked in a beat. */
+/** Up to this many other hosts, several are probed in a beat. */
 const FEW_HOSTS = 16;
-/** Hosts asked in a beat, where hosts are few and where they are many. */
+/** Hosts probed in a beat, for few and for many hosts. */
 const PROBES = {few: 3, many: 1} as const;
 /**
- * Hosts asked in a beat after one in which a host was silent: many may have
- * been lost at once. When half of 195 hosts are lost, the rest know all of
- * them after 1.8 to 2.0 s; with one at a time after 3.2 s, 3.5 s and not
- * within 9 s (simulation, three seeds).
+ * Hosts probed in a beat after one in which a host did not answer, as many may
+ * have failed at once. If half of 195 hosts fail, the others have detected all
+ * of them after 1.8 to 2.0 s; with one probe a beat it takes 3.2 s, 3.5 s, or
+ * more than 9 s (simulated with three seeds).
  */
 const PROBES_AFTER_SILENCE = 6;
-/** Hosts that are asked to ask for this one. */
+/** Hosts that are asked to probe a host that did not answer. */
 const RELAYS = 3;
-/** Hosts that a fresh change is told at once. */
-const FRESH_TO = 3;
-/** Room for changes in one message, in bytes; it stays below 1,300 in all. */
-const CHANGES_BYTES = 800;
-/** What a change takes at most with and without a place, in bytes. */
-const CHANGE_BYTES = {placed: 130, short: 40} as const;
-/** Beats without any message after which silence of others says nothing. */
+/** Hosts to which new updates are sent at once. */
+const NOTICE_TARGETS = 3;
+/**
+ * Space for updates in a message, in bytes; a whole message stays below 1,300
+ * bytes.
+ */
+const MAX_UPDATES_BYTES = 800;
+/** The size of an update with and without a place, in bytes; upper bounds. */
+const UPDATE_BYTES = {withPlace: 130, withoutPlace: 40} as const;
+/**
+ * If no message arrived for this many beats, this host may itself be cut off,
+ * and missing answers of others are no evidence.
+ */
 const TRUST_BEATS = 4;
-/** A beat so many times later than planned was held up with all else here. */
+/**
+ * If a beat starts more than this many periods after the one before, this
+ * process was stalled, and missing answers of others are no evidence.
+ */
 const LATE_BEATS = 2;
 
-/** Keeps track of the other hosts. */
+/** Detects failed hosts and spreads updates about hosts. */
 export class FailureDetector<P> {
   readonly view: HostView<P>;
   private readonly queue = new GossipQueue();
   private readonly schedule: ProbeSchedule;
+  /** When the last beat started, in ms. */
   private beatAt = -Infinity;
+  /** When the last message arrived, in ms. */
   private receivedAt = -Infinity;
+  /** Whether a host did not answer in the last beat. */
   private wasSilent = false;
-  private hasFresh = false;
-  /** Hosts that this one has found silent since they were last taken. */
-  private silent: string[] = [];
+  /** Whether new updates have not been sent in notices yet. */
+  private isNoticePending = false;
+  /** Hosts suspected by this one since the last `takeNewlySuspected`. */
+  private newlySuspected: string[] = [];
 
   constructor(
     own: HostRecord,
     private readonly ownPlace: P,
-    times: HostTimeouts,
+    timeouts: HostTimeouts,
     /** The time between two beats, in ms. */
     private readonly beatMs: number,
     private readonly random: Random,
     hashRecord: (record: HostRecord) => number,
   ) {
-    this.view = new HostView(own, ownPlace, times, hashRecord);
+    this.view = new HostView(own, ownPlace, timeouts, hashRecord);
     this.schedule = new ProbeSchedule(random);
-    // Others need to know of a host once it takes callers; until then its own
-    // questions tell of it.
-    if (own.state !== 'starting') this.addFresh(own.name);
+    // A starting host is announced by its own probes. The others only need to
+    // hear of it at once when it accepts callers.
+    if (own.state !== 'starting') this.addUpdate(own.name);
   }
 
-  /** Whether there is news that should not wait for the next beat. */
+  /** Whether there are new updates that should not wait for the next beat. */
   get hasUrgentUpdates(): boolean {
-    return this.hasFresh;
+    return this.isNoticePending;
   }
 
-  /** Whether another host was heard a moment ago. */
+  /** Whether a message of any other host arrived recently. */
   hasHeardAny(now: number): boolean {
     return now - this.receivedAt <= TRUST_BEATS * this.beatMs;
   }
 
-  /** Says what this host tells of itself. */
-  updateOwn(told: Pick<HostRecord, 'isStoreAway' | 'state'>): void {
-    if (this.view.updateOwn(told)) this.addFresh(this.view.ownRecord.name);
+  /** Sets the state that this host publishes of itself. */
+  updateOwn(next: Pick<HostRecord, 'isStoreAway' | 'state'>): void {
+    if (this.view.updateOwn(next)) this.addUpdate(this.view.ownRecord.name);
   }
 
   /**
-   * Takes the whole list of another host. A host that knew nobody before has
-   * nothing to pass on: the others know all that it learns so.
+   * Applies the whole member list of another host. If this host knew no others
+   * before, it forwards nothing of it: the other hosts know all of it already.
    */
-  acceptHostList(changes: readonly HostUpdate<P>[], now: number): void {
+  acceptHostList(updates: readonly HostUpdate<P>[], now: number): void {
     const isJoining = this.view.countKnown() === 0;
-    for (const change of changes) {
-      const outcome = this.applyChange(change, now);
-      if (isJoining && outcome === 'fresh') this.queue.drop(change.record.name);
+    for (const update of updates) {
+      const outcome = this.applyUpdate(update, now);
+      if (isJoining && outcome === 'fresh') this.queue.drop(update.record.name);
     }
   }
 
-  /** Gives the hosts that this one has found silent since the last call. */
+  /** Returns the hosts that this one has suspected since the last call. */
   takeNewlySuspected(): string[] {
-    const {silent} = this;
-    this.silent = [];
-    return silent;
+    const {newlySuspected} = this;
+    this.newlySuspected = [];
+    return newlySuspected;
   }
 
-  /** Takes the steps of one beat. */
+  /** Runs one beat; returns the messages to send. */
   startBeat(now: number): OutgoingGossip<P>[] {
     const isPunctual = now - this.beatAt < LATE_BEATS * this.beatMs;
     this.beatAt = now;
@@ -143,32 +163,33 @@
     const byName = new Map(alive.map((host) => [host.record.name, host]));
     const count = this.countProbes(alive.length);
     const plan = this.schedule.planBeat(byName, isTrusted, count);
-    const sent: OutgoingGossip<P>[] = [];
-    for (const name of plan.silent) this.markSilent(name, now);
-    for (const name of plan.relayed) sent.push(...this.createRelays(name));
-    for (const name of plan.probed) sent.push(...this.createProbe(name));
+    const outgoing: OutgoingGossip<P>[] = [];
+    for (const name of plan.silent) this.markSuspected(name, now);
+    for (const name of plan.relayed) outgoing.push(...this.createRelays(name));
+    for (const name of plan.probed) outgoing.push(...this.createProbe(name));
     this.wasSilent = plan.relayed.length + plan.silent.length > 0;
-    sent.push(...this.createRetry());
-    return sent;
+    outgoing.push(...this.createRetry());
+    return outgoing;
   }
 
-  /** Tells a few hosts what is fresh. */
+  /** Creates messages that spread new updates to a few hosts at once. */
   createNotices(): OutgoingGossip<P>[] {
-    this.hasFresh = false;
+    this.isNoticePending = false;
     const targets = getShuffled(this.view.listAlive(), this.random);
     return targets
-      .slice(0, FRESH_TO)
+      .slice(0, NOTICE_TARGETS)
       .map((to) => this.createMessage(to, 'notice', {}));
   }
 
-  /** Takes a message; gives what is sent in return. */
+  /** Handles a message; returns the messages to send in response. */
   accept(message: GossipMessage<P>, now: number): OutgoingGossip<P>[] {
     const {sender, place, asker, target} = message;
     this.receivedAt = now;
-    // Before its own word lifts a suspicion: the sender has to be told of it.
+    // Found before the message lifts a suspicion: the sender must still be told
+    // of it.
     const correction = this.findCorrection(sender);
-    this.applyChange({record: sender, isSuspected: false, place}, now);
-    for (const told of message.updates) this.applyChange(told, now);
+    this.applyUpdate({record: sender, isSuspected: false, place}, now);
+    for (const update of message.updates) this.applyUpdate(update, now);
     this.view.markAlive(sender, now);
     this.schedule.markHeard(sender.name);
     const from = this.view.find(sender.name);
@@ -185,6 +206,7 @@
       : [this.createMessage(from, 'notice', {}, correction)];
   }
 
+  /** Handles the answer to a probe; forwards it if another host asked. */
   private acceptAnswer(message: GossipMessage<P>): OutgoingGossip<P>[] {
     const {asker, target, sender} = message;
     if (target !== undefined) this.schedule.markHeard(target);
@@ -194,15 +216,15 @@
     return [this.createMessage(to, 'answer', {asker, target: sender.name})];
   }
 
-  private countProbes(others: number): number {
+  private countProbes(otherHosts: number): number {
     if (this.wasSilent) return PROBES_AFTER_SILENCE;
-    return others <= FEW_HOSTS ? PROBES.few : PROBES.many;
+    return otherHosts <= FEW_HOSTS ? PROBES.few : PROBES.many;
   }
 
   /**
-   * Gives what a sender has to be told of itself, so that it sets all right by
-   * a new record: that it is suspected, or that a newer record of it is known,
-   * as when the time of day has gone back before its start.
+   * Finds what a sender has to be told about itself, so that it publishes a
+   * newer record: that it is suspected, or that a newer record of it is known
+   * here, as after a start with a wall clock that was set back.
    */
   private findCorrection(sender: HostRecord): HostUpdate<P> | undefined {
     const known = this.view.find(sender.name);
@@ -213,23 +235,23 @@
     return {record: known.record, isSuspected, place: undefined};
   }
 
-  private applyChange(change: HostUpdate<P>, now: number): UpdateOutcome {
-    const outcome = this.view.accept(change, now);
-    const {name} = change.record;
-    if (outcome === 'fresh') this.addFresh(name);
-    if (outcome === 'refuted') this.addFresh(this.view.ownRecord.name);
+  private applyUpdate(update: HostUpdate<P>, now: number): UpdateOutcome {
+    const outcome = this.view.accept(update, now);
+    const {name} = update.record;
+    if (outcome === 'fresh') this.addUpdate(name);
+    if (outcome === 'refuted') this.addUpdate(this.view.ownRecord.name);
     return outcome;
   }
 
-  private addFresh(name: string): void {
+  private addUpdate(name: string): void {
     this.queue.add(name);
-    this.hasFresh = true;
+    this.isNoticePending = true;
   }
 
-  private markSilent(name: string, now: number): void {
+  private markSuspected(name: string, now: number): void {
     if (!this.view.markSuspected(name, now)) return;
-    this.silent.push(name);
-    this.addFresh(name);
+    this.newlySuspected.push(name);
+    this.addUpdate(name);
   }
 
   private createProbe(name: string, asker?: string): OutgoingGossip<P>[] {
@@ -246,12 +268,12 @@
       .map((to) => this.createMessage(to, 'relay', {target}));
   }
 
-  /** Asks one host that is not believed to be alive. */
+  /** Probes one host that is not believed to be alive. */
   private createRetry(): OutgoingGossip<P>[] {
-    const doubted = this.view
+    const notAlive = this.view
       .listKnown()
       .filter(({standing}) => standing !== 'alive');
-    const [to] = getShuffled(doubted, this.random);
+    const [to] = getShuffled(notAlive, this.random);
     if (to === undefined) return [];
     const correction = {
       record: to.record,
@@ -261,35 +283,35 @@
     return [this.createMessage(to, 'probe', {}, correction)];
   }
 
-  /** @param correction What the receiver has to be told of itself. */
+  /** @param correction What the receiver has to be told about itself. */
   private createMessage(
     to: KnownHost<P>,
     kind: GossipMessageKind,
     about: Partial<Pick<GossipMessage<P>, 'asker' | 'target'>>,
     correction?: HostUpdate<P>,
   ): OutgoingGossip<P> {
-    const changes = this.takeChanges();
-    if (correction !== undefined) changes.push(correction);
+    const updates = this.takeUpdates();
+    if (correction !== undefined) updates.push(correction);
     const message: GossipMessage<P> = {
       kind,
       sender: this.view.ownRecord,
       place: kind === 'probe' ? this.ownPlace : undefined,
       asker: about.asker,
       target: about.target,
-      updates: changes,
+      updates,
       recordsHash: this.view.recordsHash,
     };
     return {to, message};
   }
 
-  private takeChanges(): HostUpdate<P>[] {
+  private takeUpdates(): HostUpdate<P>[] {
     const hostCount = this.view.countKnown() + 1;
-    const names = this.queue.take(CHANGES_BYTES, hostCount, (name) =>
+    const names = this.queue.take(MAX_UPDATES_BYTES, hostCount, (name) =>
       this.view.createCompactUpdate(name)?.place === undefined
-        ? CHANGE_BYTES.short
-        : CHANGE_BYTES.placed,
+        ? UPDATE_BYTES.withoutPlace
+        : UPDATE_BYTES.withPlace,
     );
-    const changes = names.map((name) => this.view.createCompactUpdate(name));
-    return changes.filter((change) => change !== undefined);
+    const updates = names.map((name) => this.view.createCompactUpdate(name));
+    return updates.filter((update) => update !== undefined);
   }
 }
--- a/packages/decisions/src/host_record.ts
+++ b/packages/decisions/src/host_record.ts
@@ -1,33 +1,38 @@
 /**
- * What hosts tell each other of one host. Only the host itself makes a new
- * record of itself; others pass records on, and may add that they suspect it.
+ * The state of a host as hosts exchange it. Only the host itself creates new
+ * records of itself. Other hosts forward records, and may add that they suspect
+ * the host of having failed.
  */
 
-/** Where a host is in its life. */
+/** The lifecycle state of a host. */
 export type HostState = 'leaving' | 'ready' | 'starting';
 
-/** One record of one host. */
+/** The state of one host, as published by that host. */
 export interface HostRecord {
   readonly name: string;
-  /** Higher after each start of the host. */
+  /** Increases with each start of the host. */
   readonly incarnation: number;
-  /** Rises with each record that the host makes of itself in one life. */
+  /** Increases with each record of the same incarnation. */
   readonly version: number;
   readonly state: HostState;
-  /** Whether the store failed this host a moment ago. */
+  /** Whether the host currently fails to reach the store. */
   readonly isStoreAway: boolean;
 }
 
-/** What one host tells another of a third one, or of itself. */
+/**
+ * What one host tells another about a third host, or about itself.
+ *
+ * @template P The network addresses and the failure domain of a host.
+ */
 export interface HostUpdate<P> {
   readonly record: HostRecord;
-  /** Whether the host did not answer when it was last asked. */
+  /** Whether the host failed to answer its last probe. */
   readonly isSuspected: boolean;
-  /** Where the host is reached; left out where it is known already. */
+  /** Where to reach the host; undefined if the receiver knows it already. */
   readonly place: P | undefined;
 }
 
-/** Orders two records of one host; above 0 when the first is newer. */
+/** Orders two records of one host; positive if the first is newer. */
 export function compareRecords(a: HostRecord, b: HostRecord): number {
   return a.incarnation - b.incarnation || a.version - b.version;
 }
--- a/packages/decisions/src/host_view.ts
+++ b/packages/decisions/src/host_view.ts
@@ -1,11 +1,12 @@
 /**
- * The other hosts as one host knows them. Every host has a record of every
- * other; records spread from host to host only when they change, so that what
- * it costs to keep them does not grow with the number of hosts.
+ * The member list of one host: its own record and those of all other hosts.
+ * Records are exchanged only when they change, so that the network traffic does
+ * not grow with the number of hosts.
  *
- * A host that does not answer is suspected: callers are not sent there any
- * more, and it is told, so that it can prove the suspicion wrong by a new
- * record. After a while without one it counts as lost, and is forgotten later.
+ * A host that does not answer probes is suspected. Callers are no longer sent
+ * to it, and it is told of the suspicion, so that it can refute it by a newer
+ * record. If it does not, it counts as lost after a timeout and is removed from
+ * the list after another.
  */
 import {
   compareRecords,
@@ -13,58 +14,64 @@
   type HostRecord,
 } from './host_record.js';
 
-/** How a host is believed to be. */
+/** Whether a host is believed to run. */
 export type HostStanding = 'alive' | 'lost' | 'suspected';
 
-/** One host. */
+/**
+ * Another host in the list.
+ *
+ * @template P The network addresses and the failure domain of a host.
+ */
 export interface KnownHost<P> {
   readonly record: HostRecord;
+  /** Where to reach the host. */
   readonly place: P;
   readonly standing: HostStanding;
 }
 
-/** When silence counts, in ms. */
+/** Timeouts of hosts that do not answer. */
 export interface HostTimeouts {
   /** From the suspicion until a host counts as lost. */
   readonly lostAfterMs: number;
-  /** From the loss until a host is forgotten. */
+  /** From the loss until a host is removed from the list. */
   readonly forgetAfterMs: number;
 }
 
-/** What became of a change that was told. */
+/** The effect of an update that was received. */
 export type UpdateOutcome =
-  /** It is news here and is passed on. */
+  /** It was new and has to be forwarded. */
   | 'fresh'
-  /** It is known, or older than what is known. */
+  /** It was already known, or older than what is known. */
   | 'known'
-  /** It is about this host, which made a new record of itself. */
+  /** It was about this host, which refuted it by a newer record of itself. */
   | 'refuted'
-  /** It is about a host whose place is not known here. */
-  | 'placeless';
+  /** It lacked the place of a host that is not known here; it was ignored. */
+  | 'unknown_place';
 
-/** Records of a life up to this version are told with the place. */
-const PLACE_VERSIONS = 2;
+/** Updates contain the place up to this record version of an incarnation. */
+const MAX_VERSION_WITH_PLACE = 2;
 
 interface Entry<P> extends KnownHost<P> {
-  /** Since when the standing holds. */
+  /** When the standing last changed, in ms. */
   readonly since: number;
 }
 
-/** The other hosts, and the own record. */
+/** The member list of a host. */
 export class HostView<P> {
+  /** The other hosts, by name. */
   private readonly hosts = new Map<string, Entry<P>>();
-  /** The sum of the hashes of the other hosts that are alive. */
+  /** The sum of the record hashes of the other hosts that are alive. */
   private hashSum = 0;
 
   constructor(
     private own: HostRecord,
     private readonly ownPlace: P,
-    private readonly times: HostTimeouts,
-    /** Gives a number below 2^32 for a record. */
+    private readonly timeouts: HostTimeouts,
+    /** Returns a hash below 2^32. */
     private readonly hashRecord: (record: HostRecord) => number,
   ) {}
 
-  /** The record that this host tells of itself. */
+  /** The current record of this host. */
   get ownRecord(): HostRecord {
     return this.own;
   }
@@ -74,12 +81,12 @@
     return this.hosts.get(name);
   }
 
-  /** Lists all other hosts that are not forgotten. */
+  /** Lists all other hosts, whatever their standing. */
   listKnown(): KnownHost<P>[] {
     return [...this.hosts.values()];
   }
 
-  /** Gives the number of other hosts that are not forgotten. */
+  /** Returns the number of other hosts, whatever their standing. */
   countKnown(): number {
     return this.hosts.size;
   }
@@ -90,17 +97,17 @@
   }
 
   /**
-   * Lists the other hosts that take callers: those that are alive. When none
-   * is, this host is more likely cut off than the last one, and those count
-   * that took callers when they were last heard.
+   * Lists the other hosts that accept callers: those that are alive and ready.
+   * If no other host seems alive, this one is more likely cut off than the only
+   * one left, so all hosts that were ready when last heard are listed.
    */
   listServing(): KnownHost<P>[] {
     const alive = this.listAlive();
-    const pool = alive.length > 0 ? alive : this.listKnown();
-    return pool.filter(({record}) => record.state === 'ready');
+    const candidates = alive.length > 0 ? alive : this.listKnown();
+    return candidates.filter(({record}) => record.state === 'ready');
   }
 
-  /** Gives the change that tells all of a host as it is known here. */
+  /** Creates an update with everything known about a host. */
   createUpdate(name: string): HostUpdate<P> | undefined {
     if (name === this.own.name) {
       return {record: this.own, isSuspected: false, place: this.ownPlace};
@@ -112,29 +119,29 @@
   }
 
   /**
-   * Gives the change in few bytes: the place only with the first records of a
-   * life, as others know it from then on.
+   * Creates an update in few bytes: it contains the place only for the first
+   * records of an incarnation, as the other hosts know it from then on.
    */
   createCompactUpdate(name: string): HostUpdate<P> | undefined {
-    const change = this.createUpdate(name);
-    if (change === undefined) return undefined;
-    const isEarly = change.record.version <= PLACE_VERSIONS;
-    if (isEarly && !change.isSuspected) return change;
-    return {...change, place: undefined};
+    const update = this.createUpdate(name);
+    if (update === undefined) return undefined;
+    const isEarly = update.record.version <= MAX_VERSION_WITH_PLACE;
+    if (isEarly && !update.isSuspected) return update;
+    return {...update, place: undefined};
   }
 
-  /** Makes a new record of this host; false when it says nothing new. */
-  updateOwn(told: Pick<HostRecord, 'isStoreAway' | 'state'>): boolean {
+  /** Creates a newer record of this host; false if nothing has changed. */
+  updateOwn(next: Pick<HostRecord, 'isStoreAway' | 'state'>): boolean {
     const {state, isStoreAway} = this.own;
-    if (told.state === state && told.isStoreAway === isStoreAway) return false;
-    this.own = {...this.own, ...told, version: this.own.version + 1};
+    if (next.state === state && next.isStoreAway === isStoreAway) return false;
+    this.own = {...this.own, ...next, version: this.own.version + 1};
     return true;
   }
 
-  /** Takes what another host told. */
-  accept(change: HostUpdate<P>, now: number): UpdateOutcome {
-    const {record, isSuspected, place} = change;
-    if (record.name === this.own.name) return this.acceptOwn(change);
+  /** Applies an update from another host. */
+  accept(update: HostUpdate<P>, now: number): UpdateOutcome {
+    const {record, isSuspected, place} = update;
+    if (record.name === this.own.name) return this.acceptOwn(update);
     const known = this.hosts.get(record.name);
     const order =
       known === undefined ? 1 : compareRecords(record, known.record);
@@ -145,16 +152,16 @@
       return 'fresh';
     }
     const nextPlace = place ?? this.findPlace(record);
-    if (nextPlace === undefined) return 'placeless';
+    if (nextPlace === undefined) return 'unknown_place';
     const standing = isSuspected ? 'suspected' : 'alive';
     this.put({record, place: nextPlace, standing, since: now});
     return 'fresh';
   }
 
   /**
-   * Takes it that a host sent something itself; true when it was not believed
-   * to be alive. Its own word is proof, whatever others suspect, but says
-   * nothing of an earlier life, whose record may still be the one known.
+   * Records that a host sent a message itself; true if it was not believed to
+   * be alive. A message is proof whatever other hosts suspect, but only of the
+   * incarnation that sent it: the record known here may be of an earlier one.
    */
   markAlive({name, incarnation}: HostRecord, now: number): boolean {
     const known = this.hosts.get(name);
@@ -164,7 +171,7 @@
     return true;
   }
 
-  /** Takes it that a host did not answer; true when that is news. */
+  /** Records that a host did not answer; true if it was believed alive. */
   markSuspected(name: string, now: number): boolean {
     const known = this.hosts.get(name);
     if (known?.standing !== 'alive') return false;
@@ -172,10 +179,13 @@
     return true;
   }
 
-  /** Takes out who was suspected for long; gives the names. */
+  /**
+   * Marks hosts as lost that were suspected for too long, and removes those
+   * that were lost for too long; returns the names of the removed ones.
+   */
   dropLost(now: number): string[] {
     const dropped: string[] = [];
-    const {lostAfterMs, forgetAfterMs} = this.times;
+    const {lostAfterMs, forgetAfterMs} = this.timeouts;
     for (const [name, host] of this.hosts) {
       const silentMs = now - host.since;
       if (host.standing === 'suspected' && silentMs > lostAfterMs) {
@@ -189,8 +199,8 @@
   }
 
   /**
-   * Gives a number that two hosts have in common only when they know the same
-   * records of the hosts that are alive, themselves included.
+   * A hash of the records of all hosts that are alive, this one included. Two
+   * hosts with different hashes know different records.
    */
   get recordsHash(): number {
     return (this.hashSum + this.hashRecord(this.own)) >>> 0;
@@ -207,7 +217,7 @@
     return entry?.standing === 'alive' ? this.hashRecord(entry.record) : 0;
   }
 
-  /** The place of the same life of a host, when it is known. */
+  /** Finds the place of a host, if it is known for the same incarnation. */
   private findPlace(record: HostRecord): P | undefined {
     const known = this.hosts.get(record.name);
     return known?.record.incarnation === record.incarnation
@@ -216,18 +226,18 @@
   }
 
   /**
-   * Others suspect this host, or know a record of it that it did not make in
-   * this life, as the time of day may have gone back: a newer record of its
-   * own sets them right.
+   * Refutes an update about this host by a newer record: either others suspect
+   * it, or they know a record with a higher incarnation, as the wall clock may
+   * have been set back between two starts.
    */
   private acceptOwn({record, isSuspected}: HostUpdate<P>): UpdateOutcome {
     const order = compareRecords(record, this.own);
     if (order < 0 || (order === 0 && !isSuspected)) return 'known';
-    const isOtherLife = record.incarnation !== this.own.incarnation;
+    const isOtherIncarnation = record.incarnation !== this.own.incarnation;
     this.own = {
       ...this.own,
-      incarnation: record.incarnation + (isOtherLife ? 1 : 0),
-      version: (isOtherLife ? 0 : record.version) + 1,
+      incarnation: record.incarnation + (isOtherIncarnation ? 1 : 0),
+      version: (isOtherIncarnation ? 0 : record.version) + 1,
     };
     return 'refuted';
   }
--- a/packages/decisions/src/naive/naive_crash_ledger.ts
+++ b/packages/decisions/src/naive/naive_crash_ledger.ts
@@ -1,4 +1,7 @@
-/** What a ledger of crashes decides, from the list of all crashes. */
+/**
+ * Reference implementation of `CrashLedger.decide`: recomputes everything from
+ * the list of all crashes. Tests compare the ledger with it.
+ */
 import {
   MAX_CRASHES,
   REFUSAL_THRESHOLD,
@@ -6,64 +9,67 @@
   type Crash,
 } from '../crash_ledger.js';
 
-/** Decides on a content by looking at every crash. */
+/** Decides how a content is handled, by looking at every crash. */
 export function decideContentNaively(
   crashes: readonly Crash[],
   content: string,
 ): ContentVerdict {
-  const own = listStarts(crashes, content);
-  if (own.length === 0) return 'clear';
-  if (own.length >= MAX_CRASHES) return 'refused';
-  if (own.length < REFUSAL_THRESHOLD) return 'suspected';
+  const instanceIds = listInstances(crashes, content);
+  if (instanceIds.length === 0) return 'clear';
+  if (instanceIds.length >= MAX_CRASHES) return 'refused';
+  if (instanceIds.length < REFUSAL_THRESHOLD) return 'suspected';
   const rank = computeRank(crashes, content);
-  if (rank < UNSHARED_RANK) return 'suspected';
-  let counted = 0;
-  for (const start of own) {
-    const others = listOthers(crashes, content, start);
+  if (rank < SOLE_SUSPECT_RANK) return 'suspected';
+  let weightedCrashes = 0;
+  for (const instanceId of instanceIds) {
+    const others = listOtherContents(crashes, content, instanceId);
     const ranks = others.map((other) => computeRank(crashes, other));
-    const most = Math.max(0, ...ranks);
-    if (most < rank) counted += 1;
-    else if (most === rank) counted += 0.5;
+    const highestRank = Math.max(0, ...ranks);
+    if (highestRank < rank) weightedCrashes += 1;
+    else if (highestRank === rank) weightedCrashes += 0.5;
   }
-  return counted >= REFUSAL_THRESHOLD ? 'refused' : 'suspected';
+  return weightedCrashes >= REFUSAL_THRESHOLD ? 'refused' : 'suspected';
 }
 
-/** What a crash without another suspect adds to a rank. */
-const UNSHARED_RANK = 100;
+/** What a crash without another suspect adds to the rank of a content. */
+const SOLE_SUSPECT_RANK = 100;
 
-/** Ranks by crashes without another suspect, then by all crashes. */
+/** Ranks a content by crashes without another suspect, then by all crashes. */
 function computeRank(crashes: readonly Crash[], content: string): number {
-  const starts = listStarts(crashes, content);
-  const unshared = starts.filter((start) =>
-    listOthers(crashes, content, start).every(
-      (other) => listStarts(crashes, other).length < 2,
+  const instanceIds = listInstances(crashes, content);
+  const soleSuspectCrashes = instanceIds.filter((instanceId) =>
+    listOtherContents(crashes, content, instanceId).every(
+      (other) => listInstances(crashes, other).length < 2,
     ),
   );
-  return unshared.length * UNSHARED_RANK + starts.length;
+  return soleSuspectCrashes.length * SOLE_SUSPECT_RANK + instanceIds.length;
 }
 
-/** Lists the other contents that a start ended under. */
-function listOthers(
+/** Lists the other contents that ran on an instance when it ended. */
+function listOtherContents(
   crashes: readonly Crash[],
   content: string,
-  start: string,
+  instanceId: string,
 ): string[] {
-  const contents = new Set(crashes.map((one) => one.content));
+  const contents = new Set(crashes.map((crash) => crash.content));
   contents.delete(content);
   return [...contents].filter((other) =>
-    listStarts(crashes, other).includes(start),
+    listInstances(crashes, other).includes(instanceId),
   );
 }
 
-/** Lists the starts that ended under a content, each once. */
-function listStarts(crashes: readonly Crash[], content: string): string[] {
-  const starts: string[] = [];
-  for (const one of crashes) {
-    if (one.content !== content) continue;
-    if (starts.includes(one.instanceId) || starts.length === MAX_CRASHES) {
+/** Lists the instances that ended while they ran a content, each once. */
+function listInstances(crashes: readonly Crash[], content: string): string[] {
+  const instanceIds: string[] = [];
+  for (const crash of crashes) {
+    if (crash.content !== content) continue;
+    if (
+      instanceIds.includes(crash.instanceId) ||
+      instanceIds.length === MAX_CRASHES
+    ) {
       continue;
     }
-    starts.push(one.instanceId);
+    instanceIds.push(crash.instanceId);
   }
-  return starts;
+  return instanceIds;
 }
--- a/packages/decisions/tests/crash_ledger.test.ts
+++ b/packages/decisions/tests/crash_ledger.test.ts
@@ -1,4 +1,7 @@
-/** Which contents are refused, by the endpoints that ended under them. */
+/**
+ * Which request contents the crash ledger refuses, from the endpoint instances
+ * that ended while they ran them.
+ */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import * as fc from 'fast-check';
@@ -19,11 +22,12 @@
   for (const crash of crashes) ledger.add(crash, 0);
 }
 
-function createCrashes(content: string, starts: string): Crash[] {
-  return starts.split(' ').map((instanceId) => ({content, instanceId}));
+/** @param instances The ids of the instances that ended, with spaces between. */
+function createCrashes(content: string, instances: string): Crash[] {
+  return instances.split(' ').map((instanceId) => ({content, instanceId}));
 }
 
-describe('a ledger of crashes', () => {
+describe('CrashLedger', () => {
   it('refuses a content after three crashes', () => {
     const ledger = createLedger();
     assert.equal(ledger.decide('bad'), 'clear');
@@ -33,18 +37,18 @@
     assert.equal(ledger.decide('bad'), 'refused');
   });
 
-  it('counts a crash that is told twice once', () => {
+  it('counts a crash that is reported twice once', () => {
     const ledger = createLedger();
     addAll(ledger, createCrashes('bad', 'a a a b b'));
     assert.equal(ledger.countCrashes('bad'), 2);
     assert.equal(ledger.decide('bad'), 'suspected');
   });
 
-  it('serves what ran beside a bad content on three endpoints', () => {
+  it('serves a content that ran beside a bad one on three endpoints', () => {
     const ledger = createLedger();
     addAll(ledger, createCrashes('sound', 'a b c'));
     addAll(ledger, createCrashes('bad', 'a b c'));
-    // They look alike: both run once more, apart.
+    // They cannot be told apart yet: each runs once more in isolation.
     assert.equal(ledger.decide('sound'), 'suspected');
     assert.equal(ledger.decide('bad'), 'suspected');
     addAll(ledger, createCrashes('bad', 'd'));
@@ -52,8 +56,8 @@
     assert.equal(ledger.decide('sound'), 'suspected');
   });
 
-  // Guards against a content that is refused for having met two bad ones.
-  it('serves what ran beside two bad contents in turn', () => {
+  // Guards against refusing a content because it ran beside two bad ones.
+  it('serves a content that ran beside two bad ones in turn', () => {
     const ledger = createLedger();
     addAll(ledger, createCrashes('sound', 'a b c d'));
     addAll(ledger, createCrashes('bad', 'a b e'));
@@ -63,8 +67,8 @@
     assert.equal(ledger.decide('bad too'), 'refused');
   });
 
-  // Guards against a refusal before the second bad content ran alone.
-  it('does not refuse what never ran without another suspect', () => {
+  // Guards against refusing a content before the second bad one ran alone.
+  it('does not refuse a content that was never the sole suspect', () => {
     const ledger = createLedger();
     addAll(ledger, createCrashes('sound', 'a b c d'));
     addAll(ledger, createCrashes('bad', 'a b'));
@@ -72,14 +76,14 @@
     assert.equal(ledger.decide('sound'), 'suspected');
   });
 
-  it('refuses two bad contents that met all the time', () => {
+  it('refuses two bad contents that always ran together', () => {
     const ledger = createLedger();
     addAll(ledger, createCrashes('one', 'a b c'));
     addAll(ledger, createCrashes('two', 'a b c'));
-    const starts = ['d', 'e', 'f', 'g', 'h', 'i'];
+    const instances = ['d', 'e', 'f', 'g', 'h', 'i'];
     for (const content of ['one', 'two', 'one', 'two', 'one', 'two']) {
       if (ledger.decide(content) === 'refused') continue;
-      addAll(ledger, createCrashes(content, starts.pop() ?? ''));
+      addAll(ledger, createCrashes(content, instances.pop() ?? ''));
     }
     assert.equal(ledger.decide('one'), 'refused');
     assert.equal(ledger.decide('two'), 'refused');
@@ -87,7 +91,7 @@
     assert.ok(ledger.countCrashes('two') <= MAX_CRASHES);
   });
 
-  it('forgets what ended well, and what had no crash for long', () => {
+  it('drops contents on request and after the retention time', () => {
     const ledger = createLedger();
     addAll(ledger, createCrashes('bad', 'a b c'));
     ledger.drop('bad');
@@ -99,7 +103,7 @@
     assert.equal(ledger.decide('late'), 'suspected');
   });
 
-  it('forgets single crashes', () => {
+  it('drops single crashes', () => {
     const ledger = createLedger();
     addAll(ledger, createCrashes('bad', 'a b c'));
     ledger.dropCrash({content: 'bad', instanceId: 'a'});
@@ -109,7 +113,7 @@
     assert.equal(ledger.size, 0);
   });
 
-  it('remembers a bounded number of contents', () => {
+  it('keeps a bounded number of contents', () => {
     const ledger = createLedger(10);
     for (let count = 0; count < 50; count++) {
       addAll(ledger, createCrashes(`content-${count}`, 'a'));
@@ -118,7 +122,7 @@
     assert.equal(ledger.decide('content-49'), 'suspected');
   });
 
-  it('decides as one that looks at every crash does', () => {
+  it('agrees with the reference implementation', () => {
     const crash = fc.record({
       content: fc.constantFrom('k', 'l', 'm', 'n'),
       instanceId: fc.constantFrom('a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'),
--- a/packages/decisions/tests/crash_rates.test.ts
+++ b/packages/decisions/tests/crash_rates.test.ts
@@ -1,14 +1,17 @@
 /**
- * How many sound streams are refused because engines ended under them, each for a
- * reason of its own, at the rates at which engines are lost.
+ * Guards against refusing sound streams: engines end for other reasons while
+ * they run them, at realistic rates, alone or with their failure domain.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {CrashSimulation, type CrashPlay} from './fixtures/crash_simulation.js';
+import {
+  CrashSimulation,
+  type CrashScenario,
+} from './fixtures/crash_simulation.js';
 
 const SEEDS = [1, 2, 3];
-/** Short streams on a fleet of a usual size. */
-const SHORT: Omit<CrashPlay, 'seed'> = {
+/** Short streams on a fleet of typical size. */
+const SHORT: Omit<CrashScenario, 'seed'> = {
   seconds: 600,
   engines: 25,
   domains: 3,
@@ -17,26 +20,26 @@
   engineLifeSeconds: 600,
 };
 
-function countRefused(play: Omit<CrashPlay, 'seed'>): number {
+function countRefused(scenario: Omit<CrashScenario, 'seed'>): number {
   let refused = 0;
   for (const seed of SEEDS) {
-    refused += new CrashSimulation({...play, seed}).run().refused;
+    refused += new CrashSimulation({...scenario, seed}).run().refused;
   }
   return refused;
 }
 
 describe('a sound stream of seconds', () => {
-  it('is never refused where each engine ends once in ten minutes', () => {
+  it('is never refused if each engine ends once in ten minutes', () => {
     assert.equal(countRefused(SHORT), 0);
   });
 
-  it('is never refused where a failure domain is lost each 7 s too', () => {
+  it('is never refused if a failure domain is lost every 7 s too', () => {
     assert.equal(countRefused({...SHORT, domainLossSeconds: 7}), 0);
   });
 });
 
 describe('a sound stream of minutes', () => {
-  it('is not refused where domains are lost once in 70 s', () => {
+  it('is not refused if a failure domain is lost every 70 s', () => {
     const refused = countRefused({
       ...SHORT,
       streamsPerSecond: 1,
--- a/packages/decisions/tests/failure_detector.test.ts
+++ b/packages/decisions/tests/failure_detector.test.ts
@@ -1,4 +1,4 @@
-/** How hosts keep track of each other, from a few to hundreds of them. */
+/** Simulates failure detection and gossip among a few to hundreds of hosts. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
@@ -7,6 +7,7 @@
   type SimulatedHost,
 } from './fixtures/gossip_simulation.js';
 
+/** Numbers of hosts and of failure domains. */
 const SIZES: readonly [number, number][] = [
   [9, 3],
   [30, 3],
@@ -22,159 +23,166 @@
   return simulation;
 }
 
-function getHost(simulation: GossipSimulation, at: number): SimulatedHost {
-  const host = simulation.hosts[at];
+function getHost(simulation: GossipSimulation, index: number): SimulatedHost {
+  const host = simulation.hosts[index];
   assert.ok(host !== undefined);
   return host;
 }
 
-/** Gives the part of pairs of running hosts of which one doubts the other. */
-function measureDoubt(simulation: GossipSimulation, ms: number): number {
+/**
+ * Measures the share of pairs of running hosts of which one does not believe
+ * the other to be alive.
+ */
+function measureDoubtedShare(simulation: GossipSimulation, ms: number): number {
   let doubted = 0;
   let pairs = 0;
-  const until = simulation.now + ms;
-  while (simulation.now < until) {
+  const endAt = simulation.now + ms;
+  while (simulation.now < endAt) {
     simulation.run(BEAT_MS);
-    const counted = simulation.countDoubted();
-    doubted += counted.doubted;
-    pairs += counted.pairs;
+    const counts = simulation.countDoubtedPairs();
+    doubted += counts.doubted;
+    pairs += counts.pairs;
   }
   return doubted / pairs;
 }
 
-/** Gives after how long each running host doubts one that was stopped. */
-function measureNoticed(
+/** Measures how long each running host takes to detect a stopped one, in ms. */
+function measureDetectionDelays(
   simulation: GossipSimulation,
   stopped: SimulatedHost,
   ms: number,
 ): number[] {
   const startedAt = simulation.now;
-  const noticed = new Map<string, number>();
+  const delays = new Map<string, number>();
   simulation.run(ms, () => {
     for (const host of simulation.hosts) {
-      if (!host.isRunning || noticed.has(host.name)) continue;
+      if (!host.isRunning || delays.has(host.name)) continue;
       if (simulation.isBelievedAlive(host, stopped)) continue;
-      noticed.set(host.name, simulation.now - startedAt);
+      delays.set(host.name, simulation.now - startedAt);
     }
   });
-  return [...noticed.values()].sort((a, b) => a - b);
+  return [...delays.values()].sort((a, b) => a - b);
 }
 
-describe('hosts that keep track of each other', () => {
+describe('FailureDetector', () => {
   for (const [hosts, domains] of SIZES) {
-    it(`do not doubt live ones among ${hosts}, at a level cost`, () => {
+    it(`suspects no live host among ${hosts}, at bounded traffic`, () => {
       const simulation = createSimulation(hosts, domains);
-      for (const host of simulation.hosts) host.sent = 0;
+      for (const host of simulation.hosts) host.sentDatagrams = 0;
       const ms = 9000;
-      assert.ok(measureDoubt(simulation, ms) <= 1e-4);
+      assert.ok(measureDoubtedShare(simulation, ms) <= 1e-4);
       let sent = 0;
-      for (const host of simulation.hosts) sent += host.sent;
+      for (const host of simulation.hosts) sent += host.sentDatagrams;
       const perSecond = sent / hosts / (ms / 1000);
-      // Few hosts ask three others in a beat, many one; the rest are relays.
+      // Few hosts probe three others in a beat, many hosts probe one. The rest
+      // of the messages are relays.
       assert.ok(perSecond < (hosts <= 17 ? 26 : 14), `${perSecond}`);
     });
 
-    it(`know soon of one of ${hosts} that was killed`, () => {
+    it(`soon detects that one of ${hosts} hosts was killed`, () => {
       const simulation = createSimulation(hosts, domains);
       const stopped = getHost(simulation, 1);
       stopped.isRunning = false;
-      const noticed = measureNoticed(simulation, stopped, 3000);
-      assert.equal(noticed.length, hosts - 1);
-      assert.ok((noticed[Math.floor(noticed.length / 2)] ?? Infinity) <= 1500);
-      assert.ok((noticed.at(-1) ?? Infinity) <= 2500);
+      const delays = measureDetectionDelays(simulation, stopped, 3000);
+      assert.equal(delays.length, hosts - 1);
+      assert.ok((delays[Math.floor(delays.length / 2)] ?? Infinity) <= 1500);
+      assert.ok((delays.at(-1) ?? Infinity) <= 2500);
     });
   }
 
-  it('know of half of 195 that were killed in one moment', () => {
+  it('detects that half of 195 hosts were killed at once', () => {
     const simulation = createSimulation(195, 6);
     const killed = simulation.hosts.slice(0, 97);
     for (const host of killed) host.isRunning = false;
     simulation.run(3000);
     for (const host of simulation.hosts.slice(97)) {
       const doubted = killed.filter(
-        (one) => !simulation.isBelievedAlive(host, one),
+        (other) => !simulation.isBelievedAlive(host, other),
       );
       assert.equal(doubted.length, killed.length);
     }
-    assert.equal(simulation.countDoubted().doubted, 0);
+    assert.equal(simulation.countDoubtedPairs().doubted, 0);
   });
 
-  it('believe one that was frozen for 4 s as soon as it wakes', () => {
+  it('believes a host alive soon after it was frozen for 4 s', () => {
     const simulation = createSimulation(195, 6);
     const frozen = getHost(simulation, 7);
     frozen.isRunning = false;
     simulation.run(4000);
     frozen.isRunning = true;
     simulation.run(1500);
-    assert.equal(simulation.countDoubted().doubted, 0);
+    assert.equal(simulation.countDoubtedPairs().doubted, 0);
   });
 
-  it('believe a host that starts anew, also with an older clock', () => {
+  it('believes a restarted host alive, even if its clock was set back', () => {
     const simulation = createSimulation(195, 6);
     const host = getHost(simulation, 3);
     host.isRunning = false;
     simulation.run(500);
-    simulation.startAgain(host, getHost(simulation, 20), -1);
+    simulation.startNewIncarnation(host, getHost(simulation, 20), -1);
     simulation.run(2000);
-    assert.equal(simulation.countDoubted().doubted, 0);
+    assert.equal(simulation.countDoubtedPairs().doubted, 0);
     for (const other of simulation.hosts) {
       if (other === host) continue;
-      const known = other.watch.view.find(host.name)?.record;
-      assert.deepEqual(known, host.watch.view.ownRecord);
+      const known = other.detector.view.find(host.name)?.record;
+      assert.deepEqual(known, host.detector.view.ownRecord);
     }
   });
 
-  it('are one deployment again after half was cut off for 8 s', () => {
+  it('recovers from a network partition of 8 s', () => {
     const simulation = createSimulation(195, 6);
-    simulation.isCut = (a, b) => a.domain < 3 !== b.domain < 3;
+    simulation.isDropped = (a, b) => a.domain < 3 !== b.domain < 3;
     simulation.run(8000);
-    const {doubted, pairs} = simulation.countDoubted();
+    const {doubted, pairs} = simulation.countDoubtedPairs();
     assert.ok(doubted / pairs > 0.4);
-    simulation.isCut = () => false;
+    simulation.isDropped = () => false;
     simulation.run(4000);
-    const after = simulation.countDoubted();
+    const after = simulation.countDoubtedPairs();
     assert.ok(after.doubted / after.pairs <= 1e-4);
     simulation.run(2000);
-    assert.equal(simulation.countDoubted().doubted, 0);
+    assert.equal(simulation.countDoubtedPairs().doubted, 0);
   });
 
-  it('do not take the word of one that is cut off itself', () => {
+  it('suspects few others on a host that is cut off itself', () => {
     const simulation = createSimulation(100, 6);
-    const alone = getHost(simulation, 9);
-    simulation.isCut = (a, b) => a === alone || b === alone;
+    const isolated = getHost(simulation, 9);
+    simulation.isDropped = (a, b) => a === isolated || b === isolated;
     simulation.run(6000);
     const doubted = simulation.hosts.filter(
-      (other) => other !== alone && !simulation.isBelievedAlive(alone, other),
+      (other) =>
+        other !== isolated && !simulation.isBelievedAlive(isolated, other),
     );
-    // It hears nobody, and says so of itself before it says it of most others.
+    // It receives nothing, and stops suspecting others after a few beats.
     assert.ok(doubted.length <= 15, `${doubted.length}`);
-    simulation.isCut = () => false;
+    simulation.isDropped = () => false;
     simulation.run(2500);
-    assert.equal(simulation.countDoubted().doubted, 0);
+    assert.equal(simulation.countDoubtedPairs().doubted, 0);
   });
 
-  it('know of a whole domain that is stopped in turn and started anew', () => {
+  it('tracks a failure domain whose hosts are restarted in turn', () => {
     const simulation = createSimulation(195, 6);
     const domain = simulation.hosts.filter(({domain: at}) => at === 2);
     const seed = getHost(simulation, 0);
     for (const host of domain) {
-      host.watch.updateOwn({state: 'leaving', isStoreAway: false});
+      host.detector.updateOwn({state: 'leaving', isStoreAway: false});
       simulation.run(100);
       host.isRunning = false;
       simulation.run(100);
-      simulation.startAgain(host, seed);
+      simulation.startNewIncarnation(host, seed);
     }
     simulation.run(2000);
-    assert.equal(simulation.countDoubted().doubted, 0);
+    assert.equal(simulation.countDoubtedPairs().doubted, 0);
   });
 
-  it('know the same records in the end', () => {
+  it('converges to the same records on all hosts', () => {
     const simulation = createSimulation(100, 6);
     for (const host of simulation.hosts.slice(0, 30)) {
-      host.watch.updateOwn({state: 'leaving', isStoreAway: true});
+      host.detector.updateOwn({state: 'leaving', isStoreAway: true});
     }
     simulation.run(4000);
-    const hashes = simulation.hosts.map(({watch}) => watch.view.recordsHash);
+    const hashes = simulation.hosts.map(
+      ({detector: watch}) => watch.view.recordsHash,
+    );
     assert.equal(new Set(hashes).size, 1);
   });
 });
--- a/packages/decisions/tests/host_view.test.ts
+++ b/packages/decisions/tests/host_view.test.ts
@@ -1,4 +1,7 @@
-/** What one host knows of the others, and what rides on its messages. */
+/**
+ * The member list of a host, its probe schedule, the queue of updates, and the
+ * reports of hosts that read the store.
+ */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
@@ -15,7 +18,7 @@
 import fc from 'fast-check';
 import {RUN_OPTIONS} from './run_options.js';
 
-const TIMES = {lostAfterMs: 100, forgetAfterMs: 1000};
+const TIMEOUTS = {lostAfterMs: 100, forgetAfterMs: 1000};
 
 function createRecord(
   name: string,
@@ -26,7 +29,7 @@
   return {name, incarnation, version, state, isStoreAway: false};
 }
 
-function createChange(
+function createUpdate(
   record: HostRecord,
   isSuspected = false,
 ): HostUpdate<string> {
@@ -35,25 +38,25 @@
 
 function createView(): HostView<string> {
   const own = createRecord('own', 10, 1);
-  return new HostView(own, 'own place', TIMES, ({version}) => version);
+  return new HostView(own, 'own place', TIMEOUTS, ({version}) => version);
 }
 
-describe('the view of hosts', () => {
-  it('leaves out of what callers get the suspected and the leaving', () => {
+describe('HostView', () => {
+  it('sends callers to no host that is suspected or leaving', () => {
     const view = createView();
-    view.accept(createChange(createRecord('a', 1, 1)), 0);
-    view.accept(createChange(createRecord('b', 1, 1)), 0);
-    view.accept(createChange(createRecord('c', 1, 1, 'leaving')), 0);
+    view.accept(createUpdate(createRecord('a', 1, 1)), 0);
+    view.accept(createUpdate(createRecord('b', 1, 1)), 0);
+    view.accept(createUpdate(createRecord('c', 1, 1, 'leaving')), 0);
     assert.equal(view.listServing().length, 2);
     assert.equal(view.markSuspected('a', 10), true);
     const names = view.listServing().map(({record}) => record.name);
     assert.deepEqual(names, ['b']);
   });
 
-  it('keeps what was known when nobody is alive any more', () => {
+  it('keeps listing serving hosts when none seems alive any more', () => {
     const view = createView();
-    view.accept(createChange(createRecord('a', 1, 1)), 0);
-    view.accept(createChange(createRecord('b', 1, 1, 'leaving')), 0);
+    view.accept(createUpdate(createRecord('a', 1, 1)), 0);
+    view.accept(createUpdate(createRecord('b', 1, 1, 'leaving')), 0);
     for (const name of ['a', 'b']) view.markSuspected(name, 0);
     assert.equal(view.listServing().length, 1);
     assert.deepEqual(view.dropLost(101), []);
@@ -64,17 +67,17 @@
 
   it('does not go back to an older record', () => {
     const view = createView();
-    const told = (incarnation: number, version: number): string =>
-      view.accept(createChange(createRecord('a', incarnation, version)), 0);
-    assert.equal(told(2, 5), 'fresh');
-    assert.equal(told(2, 5), 'known');
-    assert.equal(told(2, 4), 'known');
-    assert.equal(told(1, 9), 'known');
-    assert.equal(told(3, 1), 'fresh');
+    const accept = (incarnation: number, version: number): string =>
+      view.accept(createUpdate(createRecord('a', incarnation, version)), 0);
+    assert.equal(accept(2, 5), 'fresh');
+    assert.equal(accept(2, 5), 'known');
+    assert.equal(accept(2, 4), 'known');
+    assert.equal(accept(1, 9), 'known');
+    assert.equal(accept(3, 1), 'fresh');
   });
 
-  it('takes the same records in any order to the same end', () => {
-    const changes = fc.array(
+  it('ends in the same state whatever the order of records', () => {
+    const updates = fc.array(
       fc.record({
         incarnation: fc.integer({min: 1, max: 3}),
         version: fc.integer({min: 1, max: 3}),
@@ -83,66 +86,66 @@
       {minLength: 1, maxLength: 12},
     );
     fc.assert(
-      fc.property(changes, fc.integer(), (list, seed) => {
+      fc.property(updates, fc.integer(), (list, seed) => {
         const apply = (order: typeof list): unknown => {
           const view = createView();
           for (const {incarnation, version, isSuspected} of order) {
             const record = createRecord('a', incarnation, version);
-            view.accept(createChange(record, isSuspected), 0);
+            view.accept(createUpdate(record, isSuspected), 0);
           }
           const {record, standing} = view.find('a') ?? {};
           return {record, standing};
         };
         const random = new SeededRandom(seed);
-        const other = [...list].sort(() => random.getInt(3) - 1);
-        assert.deepEqual(apply(other), apply(list));
+        const reordered = [...list].sort(() => random.getInt(3) - 1);
+        assert.deepEqual(apply(reordered), apply(list));
       }),
       RUN_OPTIONS,
     );
   });
 
-  it('sets right who suspects its own host, or knows another life of it', () => {
+  it('refutes a suspicion of its own host and a higher incarnation', () => {
     const view = createView();
     const own = view.ownRecord;
-    assert.equal(view.accept(createChange(own, true), 0), 'refuted');
+    assert.equal(view.accept(createUpdate(own, true), 0), 'refuted');
     assert.deepEqual(view.ownRecord, {...own, version: 2});
-    assert.equal(view.accept(createChange(own, true), 0), 'known');
-    const later = createRecord('own', 5000, 8);
-    assert.equal(view.accept(createChange(later), 0), 'refuted');
+    assert.equal(view.accept(createUpdate(own, true), 0), 'known');
+    const higher = createRecord('own', 5000, 8);
+    assert.equal(view.accept(createUpdate(higher), 0), 'refuted');
     assert.equal(view.ownRecord.incarnation, 5001);
   });
 
-  it('asks for the place of a host that it does not know', () => {
+  it('ignores an update that lacks the place of an unknown host', () => {
     const view = createView();
-    const change = {...createChange(createRecord('a', 1, 7)), place: undefined};
-    assert.equal(view.accept(change, 0), 'placeless');
-    view.accept(createChange(createRecord('a', 1, 1)), 0);
-    assert.equal(view.accept(change, 0), 'fresh');
-    // Another life may be elsewhere.
-    const other = {...change, record: createRecord('a', 2, 1)};
-    assert.equal(view.accept(other, 0), 'placeless');
+    const update = {...createUpdate(createRecord('a', 1, 7)), place: undefined};
+    assert.equal(view.accept(update, 0), 'unknown_place');
+    view.accept(createUpdate(createRecord('a', 1, 1)), 0);
+    assert.equal(view.accept(update, 0), 'fresh');
+    // Another incarnation may run elsewhere.
+    const other = {...update, record: createRecord('a', 2, 1)};
+    assert.equal(view.accept(other, 0), 'unknown_place');
   });
 
   /*
-   * A host that was started anew answered before others had its place, and was
-   * taken for alive by the record of its earlier life, which said that it was
-   * ready: it was chosen to read the store and had no copy of any table.
+   * Guards against a restarted host that is believed to be ready because of the
+   * record of its previous incarnation: it answered before others had its new
+   * place, and was chosen to read the store without a replica of any table.
    */
-  it('takes no word of a new life for one of the life before', () => {
+  it('does not mark an earlier incarnation alive by a new one', () => {
     const view = createView();
-    view.accept(createChange(createRecord('a', 1, 3)), 0);
+    view.accept(createUpdate(createRecord('a', 1, 3)), 0);
     view.markSuspected('a', 0);
     assert.equal(view.markAlive(createRecord('a', 2, 1), 1), false);
     assert.equal(view.find('a')?.standing, 'suspected');
     assert.equal(view.markAlive(createRecord('a', 1, 3), 2), true);
   });
 
-  it('has the same hash where the same records are known', () => {
+  it('has the same hash if the same records are known', () => {
     const names = ['a', 'b', 'c', 'd'];
     const fill = (order: readonly string[]): HostView<string> => {
       const view = createView();
       for (const name of order) {
-        view.accept(createChange(createRecord(name, 1, name.length)), 0);
+        view.accept(createUpdate(createRecord(name, 1, name.length)), 0);
       }
       return view;
     };
@@ -156,22 +159,22 @@
   });
 });
 
-describe('the schedule of questions', () => {
+describe('ProbeSchedule', () => {
   const alive = new Map(['a', 'b', 'c', 'd', 'e'].map((name) => [name, 0]));
 
-  it('asks all in turn', () => {
+  it('probes all hosts in turn', () => {
     const schedule = new ProbeSchedule(new SeededRandom(1));
-    const asked = new Set<string>();
+    const probed = new Set<string>();
     for (let beat = 0; beat < alive.size; beat++) {
       for (const name of schedule.planBeat(alive, true, 1).probed) {
-        asked.add(name);
+        probed.add(name);
         schedule.markHeard(name);
       }
     }
-    assert.equal(asked.size, alive.size);
+    assert.equal(probed.size, alive.size);
   });
 
-  it('asks a silent host again through others, then names it', () => {
+  it('probes a silent host again through relays, then reports it', () => {
     const schedule = new ProbeSchedule(new SeededRandom(1));
     const [first = ''] = schedule.planBeat(alive, true, 1).probed;
     const second = schedule.planBeat(alive, true, 0);
@@ -180,7 +183,7 @@
     assert.deepEqual(schedule.planBeat(alive, true, 0).silent, [first]);
   });
 
-  it('names nobody when its own host hears nobody', () => {
+  it('reports no host when its own host receives nothing', () => {
     const schedule = new ProbeSchedule(new SeededRandom(1));
     for (let beat = 0; beat < 20; beat++) {
       const plan = schedule.planBeat(alive, false, 1);
@@ -190,22 +193,22 @@
   });
 });
 
-describe('the changes that are told', () => {
-  it('go out a few times each, the least told first, as far as they fit', () => {
+describe('GossipQueue', () => {
+  it('sends each update a few times, those sent least often first', () => {
     const queue = new GossipQueue();
     for (const name of ['a', 'b', 'c']) queue.add(name);
     const taken: string[] = [];
     for (let at = 0; at < 100; at++) taken.push(...queue.take(2, 7, () => 1));
-    const times = ['a', 'b', 'c'].map(
-      (name) => taken.filter((one) => one === name).length,
+    const counts = ['a', 'b', 'c'].map(
+      (name) => taken.filter((other) => other === name).length,
     );
-    assert.deepEqual(times, [6, 6, 6]);
+    assert.deepEqual(counts, [6, 6, 6]);
     assert.equal(queue.size, 0);
     assert.deepEqual(new Set(taken.slice(0, 3)), new Set(['a', 'b', 'c']));
   });
 });
 
-describe('the reports of those who read the store', () => {
+describe('ReaderReports', () => {
   function createReport(change: Partial<ReaderReport>): ReaderReport {
     return {
       name: 'reader',
@@ -218,12 +221,12 @@
     };
   }
 
-  it('grow old on the way, and lapse', () => {
+  it('ages reports on the way and lets them expire', () => {
     const reports = new ReaderReports();
     reports.accept(createReport({departureDelayMs: 700}), 1000);
     assert.equal(reports.getConfigurationAgeMs(5, 1300), 400);
     assert.equal(reports.getDepartureDelayMs(1300), 400);
-    // Passed on and back again, the same report does not live on.
+    // Forwarding a report and receiving it again does not renew it.
     for (const report of reports.list(2000)) reports.accept(report, 2000);
     assert.equal(reports.getConfigurationAgeMs(5, 2000), 1100);
     assert.equal(reports.getConfigurationAgeMs(5, 3600), Infinity);
@@ -231,26 +234,26 @@
   });
 
   /*
-   * Simulated at rest, 60 hosts went on telling each other of 31 readers of
-   * which 28 had stopped reading half a minute before (2600 bytes a message in
-   * place of 600): a host that had dropped a report took it as new from the
-   * next one that still had it. So the word of a reader long gone also decided
-   * how long vanished endpoints stay in use.
+   * Guards against reports that never expire: a host that had dropped a report
+   * accepted it again from one that still had it. In a simulation 60 hosts kept
+   * forwarding reports of 31 readers, 28 of which had stopped reading half a
+   * minute before. Messages grew from 600 to 2600 bytes, and outdated reports
+   * decided how long vanished endpoints stay in use.
    */
-  it('lapse among hosts that keep telling each other of them', () => {
+  it('lets reports expire among hosts that keep forwarding them', () => {
     const hosts = Array.from({length: 4}, () => new ReaderReports());
     hosts[0]?.accept(createReport({}), 0);
     for (let now = 0; now <= 20_000; now += 300) {
-      // The last one first, so that each hop takes a beat.
-      for (const [at, host] of [...hosts.entries()].reverse()) {
-        const next = hosts[(at + 1) % hosts.length];
+      // In reverse order, so that each hop takes a beat.
+      for (const [index, host] of [...hosts.entries()].reverse()) {
+        const next = hosts[(index + 1) % hosts.length];
         for (const report of host.list(now)) next?.accept(report, now);
       }
     }
     for (const host of hosts) assert.deepEqual(host.list(20_300), []);
   });
 
-  it('are taken again from a reader that reads again', () => {
+  it('accepts a reader again that reads again', () => {
     const reports = new ReaderReports();
     reports.accept(createReport({}), 0);
     assert.deepEqual(reports.list(5000), []);
@@ -258,13 +261,13 @@
     assert.equal(reports.list(6000).length, 1);
   });
 
-  it('say nothing of a copy that lacks what the reader knows', () => {
+  it('gives no age to a replica that lacks changes the reader knows', () => {
     const reports = new ReaderReports();
     reports.accept(createReport({}), 0);
     assert.equal(reports.getConfigurationAgeMs(4, 0), Infinity);
   });
 
-  it('take the word of who reached the store throughout', () => {
+  it('prefers a reader that was connected to the store throughout', () => {
     const reports = new ReaderReports();
     reports.accept(createReport({departureDelayMs: 60_000}), 0);
     reports.accept(createReport({name: 'other'}), 0);
--- a/scripts/change_trials.mjs
+++ b/scripts/change_trials.mjs
@@ -53,7 +53,7 @@
     'known.record.incarnation !== incarnation',
     'false',
     'decisions/host_view',
-    'word of a new life',
+    'mark an earlier incarnation alive',
   ],
   [
     'change: rows with the same value are told',
@@ -85,7 +85,7 @@
     'REMEMBER_MS = 60_000',
     'REMEMBER_MS = 0',
     'decisions/host_view',
-    'lapse among hosts',
+    'expire among hosts',
   ],
   [
     'change: a whole read is as of its first page',
--- a/scripts/crash_trials.mjs
+++ b/scripts/crash_trials.mjs
@@ -60,7 +60,7 @@
     'otherSize === size',
     'false',
     'decisions/crash_ledger',
-    'serves what ran beside',
+    'serves a content that ran beside',
   ],
   [
     'crash: a run to the end clears a content',
