--- a/packages/decisions/src/engine_placement.ts
+++ b/packages/decisions/src/engine_placement.ts
@@ -14,12 +14,12 @@
  * for a fixed cost per stream and a preferred engine per prompt.
  *
  * Among engines of equal cost, the first by the rendezvous hash of the prompt
- * is chosen, so that all hosts agree (`rendezvous.ts`). Engines that failed
+ * is chosen, so that all hosts agree (`rendezvous_hash.ts`). Engines that failed
  * recently are used only if the others have no room. The copy is kept in another
  * failure domain, as a whole domain may be lost at once.
  */
 
-import {sortByPreference} from './rendezvous.js';
+import {sortByRendezvousHash} from './rendezvous_hash.js';
 
 /**
  * An engine as one host sees it, including the load that other hosts reported.
@@ -89,7 +89,7 @@
     leastCost = cost;
     cheapest.push(engine);
   }
-  return sortByPreference(cheapest, request.promptKey)[0];
+  return sortByRendezvousHash(cheapest, request.promptKey)[0];
 }
 
 /**
--- a/packages/decisions/src/failure_detector.ts
+++ b/packages/decisions/src/failure_detector.ts
@@ -162,12 +162,12 @@
     const alive = this.view.listAlive();
     const byName = new Map(alive.map((host) => [host.record.name, host]));
     const count = this.countProbes(alive.length);
-    const plan = this.schedule.planBeat(byName, isTrusted, count);
+    const plan = this.schedule.planRound(byName, isTrusted, count);
     const outgoing: OutgoingGossip<P>[] = [];
-    for (const name of plan.silent) this.markSuspected(name, now);
-    for (const name of plan.relayed) outgoing.push(...this.createRelays(name));
+    for (const name of plan.unresponsive) this.markSuspected(name, now);
+    for (const name of plan.indirect) outgoing.push(...this.createRelays(name));
     for (const name of plan.probed) outgoing.push(...this.createProbe(name));
-    this.wasSilent = plan.relayed.length + plan.silent.length > 0;
+    this.wasSilent = plan.indirect.length + plan.unresponsive.length > 0;
     outgoing.push(...this.createRetry());
     return outgoing;
   }
--- a/packages/decisions/src/isolated_placement.ts
+++ b/packages/decisions/src/isolated_placement.ts
@@ -7,7 +7,7 @@
  * be told apart from the one that ended the engine.
  */
 import type {EngineRequest, EngineView} from './engine_placement.js';
-import {sortByPreference} from './rendezvous.js';
+import {sortByRendezvousHash} from './rendezvous_hash.js';
 
 /** The share of the engines, those with the fewest streams, to choose from. */
 const CANDIDATE_SHARE = 0.25;
@@ -37,5 +37,5 @@
     Math.ceil(sorted.length * CANDIDATE_SHARE),
   );
   const leastLoaded = sorted.slice(0, count).map(({engine}) => engine);
-  return sortByPreference(leastLoaded, content)[0];
+  return sortByRendezvousHash(leastLoaded, content)[0];
 }
--- a/packages/decisions/tests/endpoint_choice.test.ts
+++ b/packages/decisions/tests/endpoint_choice.test.ts
@@ -6,8 +6,8 @@
   chooseEndpoint,
   chooseLeastReported,
   chooseSubset,
-  computePlacement,
-  isAllowed,
+  computePlacementConstraints,
+  isDomainAllowed,
   PrefixIndex,
   type ChoiceRequest,
   type EndpointView,
@@ -303,7 +303,7 @@
   const rule = {service: 's', failureDomains: ['a', 'b']};
   const cases: readonly {
     name: string;
-    rules: Parameters<typeof computePlacement>[0];
+    rules: Parameters<typeof computePlacementConstraints>[0];
     allowed: string;
   }[] = [
     {name: 'allows all domains without rules', rules: [], allowed: 'abc'},
@@ -339,8 +339,8 @@
   ];
   for (const {name, rules, allowed} of cases) {
     it(name, () => {
-      const placement = computePlacement(rules, 's', 't');
-      const names = ['a', 'b', 'c'].filter((d) => isAllowed(placement, d));
+      const limits = computePlacementConstraints(rules, 's', 't');
+      const names = ['a', 'b', 'c'].filter((d) => isDomainAllowed(limits, d));
       assert.equal(names.join(''), allowed);
     });
   }
--- a/packages/decisions/tests/engine_placement.test.ts
+++ b/packages/decisions/tests/engine_placement.test.ts
@@ -6,10 +6,10 @@
   chooseEngine,
   choosePlainEndpoint,
   computeEngineCost,
-  sortByPreference,
+  sortByRendezvousHash,
   type EngineRequest,
   type EngineView,
-  type PlainView,
+  type PlainEndpointView,
 } from '@irisdock/decisions';
 import fc from 'fast-check';
 import {RUN_OPTIONS} from './run_options.js';
@@ -57,11 +57,11 @@
   );
 }
 
-describe('sortByPreference', () => {
+describe('sortByRendezvousHash', () => {
   it('does not depend on the order of the engines', () => {
     const list = createEngines([{}, {}, {}, {}, {}]);
-    const sorted = sortByPreference(list, 'p').map((e) => e.instanceId);
-    const sortedAgain = sortByPreference([...list].reverse(), 'p');
+    const sorted = sortByRendezvousHash(list, 'p').map((e) => e.instanceId);
+    const sortedAgain = sortByRendezvousHash([...list].reverse(), 'p');
     assert.deepEqual(
       sortedAgain.map((e) => e.instanceId),
       sorted,
@@ -71,9 +71,9 @@
   it('moves only the prompts of an engine that is removed', () => {
     const list = createEngines([{}, {}, {}, {}, {}, {}]);
     for (let index = 0; index < 50; index++) {
-      const before = sortByPreference(list, `p${index}`);
+      const before = sortByRendezvousHash(list, `p${index}`);
       const removed = before[1];
-      const after = sortByPreference(
+      const after = sortByRendezvousHash(
         list.filter((e) => e !== removed),
         `p${index}`,
       );
@@ -269,7 +269,9 @@
   });
 });
 
-function createPlainEndpoint(change: Partial<PlainView>): PlainView {
+function createPlainEndpoint(
+  change: Partial<PlainEndpointView>,
+): PlainEndpointView {
   return {
     instanceId: 'p1',
     calls: 0,
@@ -281,7 +283,7 @@
 }
 
 describe('choosePlainEndpoint', () => {
-  const cases: readonly [string, Partial<PlainView>][] = [
+  const cases: readonly [string, Partial<PlainEndpointView>][] = [
     ['busier', {calls: 12}],
     ['slower', {answerMs: 300}],
     ['recently failed', {failureScore: 1}],
--- a/packages/decisions/tests/host_view.test.ts
+++ b/packages/decisions/tests/host_view.test.ts
@@ -166,7 +166,7 @@
     const schedule = new ProbeSchedule(new SeededRandom(1));
     const probed = new Set<string>();
     for (let beat = 0; beat < alive.size; beat++) {
-      for (const name of schedule.planBeat(alive, true, 1).probed) {
+      for (const name of schedule.planRound(alive, true, 1).probed) {
         probed.add(name);
         schedule.markHeard(name);
       }
@@ -176,18 +176,18 @@
 
   it('probes a silent host again through relays, then reports it', () => {
     const schedule = new ProbeSchedule(new SeededRandom(1));
-    const [first = ''] = schedule.planBeat(alive, true, 1).probed;
-    const second = schedule.planBeat(alive, true, 0);
-    assert.deepEqual(second.relayed, [first]);
+    const [first = ''] = schedule.planRound(alive, true, 1).probed;
+    const second = schedule.planRound(alive, true, 0);
+    assert.deepEqual(second.indirect, [first]);
     assert.deepEqual(second.probed, [first]);
-    assert.deepEqual(schedule.planBeat(alive, true, 0).silent, [first]);
+    assert.deepEqual(schedule.planRound(alive, true, 0).unresponsive, [first]);
   });
 
   it('reports no host when its own host receives nothing', () => {
     const schedule = new ProbeSchedule(new SeededRandom(1));
     for (let beat = 0; beat < 20; beat++) {
-      const plan = schedule.planBeat(alive, false, 1);
-      assert.deepEqual(plan.silent, []);
+      const plan = schedule.planRound(alive, false, 1);
+      assert.deepEqual(plan.unresponsive, []);
       assert.equal(plan.probed.length, 1);
     }
   });
--- a/packages/gateway/src/services/engine_groups.ts
+++ b/packages/gateway/src/services/engine_groups.ts
@@ -12,13 +12,13 @@
   type KnownHost,
 } from '@irisdock/decisions';
 import {getShuffled, type Random} from '@irisdock/kernel';
-import type {PeerPlace} from '../model/peer_message.js';
+import type {PeerLocation} from '../model/peer_message.js';
 
 /** The engines that are known here. */
 export interface EngineList {
   /** Differs whenever the engines do. */
   readonly version: number;
-  listHoused(): readonly EngineLocation[];
+  listEngines(): readonly EngineLocation[];
 }
 
 interface Homes {
@@ -32,7 +32,7 @@
 /** Hosts of a group that get what is for all of it; one may be lost. */
 const RELAYS = 2;
 
-const NO_ENGINES: EngineList = {version: -1, listHoused: () => []};
+const NO_ENGINES: EngineList = {version: -1, listEngines: () => []};
 
 /** Groups of hosts and the engines that they are the home of. */
 export class EngineGroups {
@@ -42,20 +42,20 @@
 
   constructor(
     private readonly ownName: string,
-    private readonly ownPlace: PeerPlace,
-    private readonly view: HostView<PeerPlace>,
+    private readonly ownPlace: PeerLocation,
+    private readonly view: HostView<PeerLocation>,
     private readonly random: Random,
   ) {}
 
   /** Lists the other hosts of this host's group. */
-  listGroup(): KnownHost<PeerPlace>[] {
+  listGroup(): KnownHost<PeerLocation>[] {
     return this.listHosts(this.getHomes().group);
   }
 
   /** Lists a few hosts of each other group, drawn at random. */
-  listRelays(): KnownHost<PeerPlace>[] {
+  listRelays(): KnownHost<PeerLocation>[] {
     const {groups, group: own} = this.getHomes();
-    const relays: KnownHost<PeerPlace>[] = [];
+    const relays: KnownHost<PeerLocation>[] = [];
     for (const group of groups) {
       if (group === own) continue;
       const hosts = getShuffled(this.listHosts(group), this.random);
@@ -71,12 +71,12 @@
   }
 
   /** Lists the other hosts of the group that is the home of an engine. */
-  listHomeHosts(instanceId: string): KnownHost<PeerPlace>[] {
+  listHomeHosts(instanceId: string): KnownHost<PeerLocation>[] {
     return this.listHosts(this.getHomes().homes.get(instanceId));
   }
 
-  private listHosts(group: HostGroup | undefined): KnownHost<PeerPlace>[] {
-    const hosts: KnownHost<PeerPlace>[] = [];
+  private listHosts(group: HostGroup | undefined): KnownHost<PeerLocation>[] {
+    const hosts: KnownHost<PeerLocation>[] = [];
     for (const name of group?.names ?? []) {
       const host = this.view.find(name);
       if (host !== undefined) hosts.push(host);
@@ -98,7 +98,7 @@
     }
     const groups = createHostGroups(hosts);
     const group = groups.find(({names}) => names.includes(this.ownName));
-    const homes = computeHomeGroups(groups, this.engines.listHoused());
+    const homes = computeHomeGroups(groups, this.engines.listEngines());
     this.known = {recordsHash, version, groups, group, homes};
     return this.known;
   }
--- a/packages/gateway/src/services/host_tracker.ts
+++ b/packages/gateway/src/services/host_tracker.ts
@@ -7,19 +7,23 @@
   hashText,
   FailureDetector,
   ReaderReports,
-  SuspensionWatch,
+  SuspensionDetector,
   type HostRecord,
   type HostView,
   type OutgoingGossip,
 } from '@irisdock/decisions';
 import type {Clock, Logger, Random} from '@irisdock/kernel';
 import type {PeerTableSource} from '../tables/peer_table_source.js';
-import type {PeerPlace, WatchDatagram} from '../model/peer_message.js';
+import type {PeerLocation, MembershipDatagram} from '../model/peer_message.js';
 import {PeerTableLoader} from '../tables/peer_table_loader.js';
-import {sortShownHosts, type HeardHost, type ShownHost} from './shown_hosts.js';
-import {StoreStanding} from '../tables/store_standing.js';
+import {
+  sortHostSummaries,
+  type LastHeard,
+  type HostSummary,
+} from './host_summaries.js';
+import {StoreStatus} from '../tables/store_status.js';
 import type {Tables} from '../tables/tables.js';
-import type {SendToHosts} from './use_notices.js';
+import type {SendToHosts} from './use_publisher.js';
 
 /** Whether a host takes callers. */
 export type PeerState = HostRecord['state'];
@@ -27,7 +31,7 @@
 /** A host that is believed to be alive. */
 export interface AliveHost {
   readonly record: HostRecord;
-  readonly place: PeerPlace;
+  readonly place: PeerLocation;
 }
 
 /** What the tracker needs of the rest. */
@@ -35,9 +39,9 @@
   readonly name: string;
   readonly incarnation: number;
   /** Where others reach this host. */
-  readonly place: PeerPlace;
+  readonly place: PeerLocation;
   /** The time between two beats, in ms. */
-  readonly beatMs: number;
+  readonly heartbeatMs: number;
   /** Whether other hosts may run that are not known yet. */
   readonly hasSeeds: boolean;
   readonly tables: Tables;
@@ -74,11 +78,11 @@
 export class HostTracker {
   /** Whether this host takes callers; set by the service that knows. */
   getState: () => PeerState = () => 'starting';
-  readonly standing: StoreStanding;
+  readonly standing: StoreStatus;
   readonly loader: PeerTableLoader;
-  private readonly watch: FailureDetector<PeerPlace>;
+  private readonly watch: FailureDetector<PeerLocation>;
   private readonly reports = new ReaderReports();
-  private readonly suspension = new SuspensionWatch();
+  private readonly suspension = new SuspensionDetector();
   private readonly closing = new AbortController();
   private isFreshPlanned = false;
   private freshAt = -Infinity;
@@ -86,13 +90,20 @@
   private unlike = 0;
   private listAskedAt = -Infinity;
   /** What other hosts were last heard to have, by name. */
-  private readonly heard = new Map<string, HeardHost>();
+  private readonly heard = new Map<string, LastHeard>();
 
   constructor(
     private readonly parts: HostTrackerParts,
     private readonly send: SendToHosts,
   ) {
-    const {name, incarnation, place, beatMs, clock, random} = parts;
+    const {
+      name,
+      incarnation,
+      place,
+      heartbeatMs: beatMs,
+      clock,
+      random,
+    } = parts;
     const {tables, tableSource, log} = parts;
     const record: HostRecord = {
       name,
@@ -119,11 +130,11 @@
         this.planFresh();
       },
     );
-    this.standing = new StoreStanding(this.view, tables, this.reports);
+    this.standing = new StoreStatus(this.view, tables, this.reports);
   }
 
   /** The other hosts as this one knows them. */
-  get view(): HostView<PeerPlace> {
+  get view(): HostView<PeerLocation> {
     return this.watch.view;
   }
 
@@ -140,14 +151,14 @@
   }
 
   /** Lists all hosts that are not forgotten, those with faults first. */
-  listShown(now: number): ShownHost[] {
+  listHostSummaries(now: number): HostSummary[] {
     const {view, standing, loader} = this;
     const readers = standing.listReaders();
     const show = (
       record: HostRecord,
-      about: Pick<ShownHost, 'failureDomain' | 'standing'>,
-      heard: HeardHost | undefined,
-    ): ShownHost => {
+      about: Pick<HostSummary, 'failureDomain' | 'standing'>,
+      heard: LastHeard | undefined,
+    ): HostSummary => {
       const {name, state, isStoreAway} = record;
       const place = readers.indexOf(name);
       return {
@@ -169,13 +180,13 @@
       const about = {failureDomain: place.failureDomain, standing: believed};
       hosts.push(show(record, about, this.heard.get(record.name)));
     }
-    return sortShownHosts(hosts);
+    return sortHostSummaries(hosts);
   }
 
   /** Does what is due in a beat. */
-  startBeat(now: number): void {
+  startHeartbeat(now: number): void {
     this.updateOwn(now);
-    this.standing.updateReading(this.isAlone);
+    this.standing.updateRole(this.isAlone);
     this.sendWatch(this.watch.startBeat(now), now);
     for (const host of this.watch.takeNewlySuspected()) {
       this.parts.log.writeInfo('A host does not answer.', {host});
@@ -197,7 +208,7 @@
   }
 
   /** Takes a message of another host. */
-  accept({watch, revisions, reports, sentAt}: WatchDatagram): void {
+  accept({watch, revisions, reports, sentAt}: MembershipDatagram): void {
     const {name, incarnation} = watch.sender;
     if (name === this.parts.name) return;
     this.checkClock(name, incarnation, sentAt);
@@ -211,7 +222,7 @@
     const sender = this.view.find(name);
     if (sender === undefined) return;
     this.heard.set(name, {revisions, at: now});
-    this.loader.markRevisions(revisions, sender.place.tables, now);
+    this.loader.recordRevisions(revisions, sender.place.tables, now);
     this.compareRecords(watch.recordsHash, sender.place.tables, now);
   }
 
@@ -237,7 +248,7 @@
   }
 
   private updateOwn(now: number): void {
-    const isStoreAway = this.standing.isAway(now);
+    const isStoreAway = this.standing.hasStoreFailedRecently(now);
     this.watch.updateOwn({state: this.getState(), isStoreAway});
   }
 
@@ -259,7 +270,7 @@
     this.sendWatch(this.watch.createNotices(), this.freshAt);
   }
 
-  private sendWatch(sent: OutgoingGossip<PeerPlace>[], now: number): void {
+  private sendWatch(sent: OutgoingGossip<PeerLocation>[], now: number): void {
     if (sent.length === 0) return;
     const revisions = this.loader.listRevisions();
     const own = this.standing.createReport(this.view.ownRecord, now);
--- a/packages/gateway/src/services/introduction.ts
+++ b/packages/gateway/src/services/peer_discovery.ts
@@ -14,7 +14,7 @@
   type Logger,
 } from '@irisdock/kernel';
 import * as z from 'zod';
-import type {WatchedStore} from '../model/watched_table.js';
+import type {TableStore} from '../model/table_store.js';
 import {HOST_IDENTITY} from './identity.js';
 import type {Peers} from './peer_hosts.js';
 import {PEERS} from './peers.js';
@@ -34,13 +34,13 @@
 const ROW_SCHEMA = z.object({tables: z.string()});
 
 /** Introduces one host. */
-class Introduction {
+class PeerDiscovery {
   private readonly startedAt: number;
   private isWritten = false;
   private readAt = -Infinity;
 
   constructor(
-    private readonly store: WatchedStore,
+    private readonly store: TableStore,
     private readonly peers: Peers,
     private readonly hostName: string,
     private readonly clock: Clock,
@@ -112,15 +112,15 @@
 }
 
 /** The key of the service. */
-export const INTRODUCTION = createServiceKey<undefined>('introduction');
+export const PEER_DISCOVERY = createServiceKey<undefined>('introduction');
 
 /** Declares the service. */
-export const INTRODUCTION_SERVICE = createService({
-  key: INTRODUCTION,
+export const PEER_DISCOVERY_SERVICE = createService({
+  key: PEER_DISCOVERY,
   settings: z.object({}),
   needs: [HOST_IDENTITY, PEERS, STORE, TABLES_KEY],
   create(context) {
-    const introduction = new Introduction(
+    const introduction = new PeerDiscovery(
       context.find(STORE),
       context.find(PEERS),
       context.find(HOST_IDENTITY).name,
--- a/packages/gateway/src/serving/caller_exchange.ts
+++ b/packages/gateway/src/serving/caller_exchange.ts
@@ -5,7 +5,7 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {KnownError} from '@irisdock/kernel';
 import {formatRawHeaders, readHeaderLines} from '../channels/header_lines.js';
-import type {HeaderLines, RequestTerms} from '../model/request_terms.js';
+import type {HeaderLines, RequestMetadata} from '../model/request_metadata.js';
 
 /** The header that says what is known of a request that was not answered. */
 const OUTCOME_HEADER = 'X-Irisdock-Outcome';
@@ -58,12 +58,12 @@
   }
 
   /** The host that the caller named. */
-  get hostLine(): string {
+  get hostHeader(): string {
     return this.message.headers.host ?? '';
   }
 
   /** Whether the caller left before its answer was whole. */
-  hasLeft(): boolean {
+  hasDisconnected(): boolean {
     return this.response.destroyed && !this.response.writableFinished;
   }
 
@@ -136,7 +136,7 @@
   }
 
   /** Resolves when the caller takes more, or the request has ended. */
-  async waitForRoom(): Promise<void> {
+  async waitForDrain(): Promise<void> {
     await new Promise<void>((resolve) => {
       const finish = (): void => {
         this.response.removeListener('drain', finish);
@@ -199,11 +199,11 @@
 export interface AdmittedRequest {
   readonly exchange: CallerExchange;
   readonly requestId: string;
-  readonly terms: RequestTerms;
+  readonly terms: RequestMetadata;
   readonly team: string | undefined;
   readonly body: Buffer;
   /** The name of its content, the same for each try of its caller. */
   readonly content: string;
   /** When the caller stops waiting, on the monotonic clock; may be Infinity. */
-  readonly callerUntil: number;
+  readonly callerDeadline: number;
 }
--- a/packages/gateway/src/serving/kept_prompts.ts
+++ b/packages/gateway/src/serving/prompt_cache_finder.ts
@@ -7,14 +7,14 @@
  * again, 48,000 where a hash had to name the engine (one day of load each).
  */
 import {
-  computeKeptTokens,
-  sortByPreference,
+  computeCachedTokens,
+  sortByRendezvousHash,
   type PromptPartView,
 } from '@irisdock/decisions';
 import type {Clock, Logger} from '@irisdock/kernel';
-import type {KeptPromptCodec} from '../model/request_terms.js';
+import type {PromptCacheCodec} from '../model/request_metadata.js';
 import type {EndpointRecord} from './endpoint_record.js';
-import type {EngineCaller} from './engine_caller.js';
+import type {EngineClient} from './engine_client.js';
 
 /** Tokens kept of each part, by the part's id. */
 type KeptParts = ReadonlyMap<string, number>;
@@ -37,19 +37,19 @@
 const USE_MS = 100;
 
 /** Asks engines for the prompts that they keep. */
-export class KeptPromptFinder {
+export class PromptCacheFinder {
   private readonly answers = new Map<string, KeptAnswer>();
 
   constructor(
-    private readonly engines: EngineCaller,
-    private readonly codec: KeptPromptCodec,
+    private readonly engines: EngineClient,
+    private readonly codec: PromptCacheCodec,
     private readonly ownDomain: string,
     private readonly clock: Clock,
     private readonly log: Logger,
   ) {}
 
   /** Gives the tokens that engines keep of a prompt, by instance id. */
-  async findKept(
+  async findCachedTokens(
     engines: readonly EndpointRecord[],
     prompt: readonly PromptPartView[],
   ): Promise<ReadonlyMap<string, number>> {
@@ -57,7 +57,7 @@
     const kept = new Map<string, number>();
     const key = prompt.at(-1)?.id;
     if (key === undefined) return kept;
-    const sorted = sortByPreference(engines, key);
+    const sorted = sortByRendezvousHash(engines, key);
     const asked = [
       ...sorted.filter((engine) => this.isNear(engine)),
       ...sorted.filter((engine) => !this.isNear(engine)),
@@ -65,7 +65,7 @@
     await Promise.all(
       asked.map(async (engine) => {
         const parts = await this.poll(engine);
-        const tokens = computeKeptTokens(prompt, parts ?? new Map());
+        const tokens = computeCachedTokens(prompt, parts ?? new Map());
         if (tokens > 0) kept.set(engine.instanceId, tokens);
       }),
     );
@@ -89,12 +89,12 @@
   private async pollOnce(
     engine: EndpointRecord,
   ): Promise<KeptParts | undefined> {
-    const call = this.codec.encodeListKept();
+    const call = this.codec.encodeListCached();
     const answer = await this.engines.send(engine, call, ANSWER_MS);
     const parts =
       answer === undefined
         ? undefined
-        : this.codec.decodeListKept(answer.status, answer.body);
+        : this.codec.decodeListCached(answer.status, answer.body);
     if (parts === undefined) {
       this.log.writeDebug('An engine did not tell which prompts it keeps.', {
         endpoint: engine.instanceId,
--- a/packages/gateway/src/tables/table_follower.ts
+++ b/packages/gateway/src/tables/table_follower.ts
@@ -6,27 +6,23 @@
 import {
   ReplicaAge,
   getEra,
-  ReaderTurns,
+  PollStagger,
   StoreReachability,
   TableReplica,
-  type ReaderPlace,
+  type ReaderRank,
   type ReplicaRow,
 } from '@irisdock/decisions';
 import {Channel, type Clock, type Logger} from '@irisdock/kernel';
 import type {FollowerOptions} from './follower_options.js';
-import {RestoreSettling} from './restore_settling.js';
+import {RestoreGracePeriod} from './restore_grace_period.js';
 import {TableLog} from './table_log.js';
 import {
   isSameRole,
   type ReaderRole,
-  type StoreNews,
-  type StoreWord,
-} from './store_news.js';
-import type {
-  TableName,
-  TablePart,
-  WatchedStore,
-} from '../model/watched_table.js';
+  type StoreUpdate,
+  type TableFreshnessReport,
+} from './store_update.js';
+import type {TableName, TableRows, TableStore} from '../model/table_store.js';
 
 /** How long a failure of the store keeps this host from reading, in ms. */
 const AWAY_LATELY_MS = 2500;
@@ -34,7 +30,7 @@
 /** All but the first reader make so much fewer calls while changes come. */
 const STANDBY_FACTOR = 2;
 /** Stands for a host that reads for nobody else. */
-const ALONE: ReaderPlace = {place: 0, count: 1};
+const ALONE: ReaderRank = {rank: 0, count: 1};
 
 /** Follows one table. */
 export class TableFollower {
@@ -43,19 +39,19 @@
   private readonly age = new ReplicaAge();
   private readonly channel = new Channel<readonly ReplicaRow[]>();
   /** Rows that are news, in the order of their changes. */
-  readonly news = this.channel.stream;
+  readonly changes = this.channel.stream;
   private readonly controller = new AbortController();
   private running: Promise<void> = Promise.resolve();
   private mustReload = true;
   private failedAt = -Infinity;
-  private readonly settling: RestoreSettling;
+  private readonly settling: RestoreGracePeriod;
   private readonly report: TableLog;
   private role: ReaderRole = 'listener';
   private resumeReading: (() => void) | undefined;
-  private readonly turns: ReaderTurns;
-  private readonly storeChannel = new Channel<StoreNews>();
+  private readonly turns: PollStagger;
+  private readonly storeChannel = new Channel<StoreUpdate>();
   /** What this host has just read from the store itself. */
-  readonly storeNews = this.storeChannel.stream;
+  readonly storeUpdates = this.storeChannel.stream;
 
   private readonly restoredChannel = new Channel<undefined>();
   /** Emits when a read shows that the store was restored. */
@@ -63,14 +59,14 @@
 
   constructor(
     readonly table: TableName,
-    private readonly store: WatchedStore,
+    private readonly store: TableStore,
     private readonly options: FollowerOptions,
     private readonly clock: Clock,
     log: Logger,
   ) {
     this.report = new TableLog(table, log);
-    this.turns = new ReaderTurns(options.waitMs);
-    this.settling = new RestoreSettling({
+    this.turns = new PollStagger(options.waitMs);
+    this.settling = new RestoreGracePeriod({
       clock,
       signal: this.controller.signal,
       retryMs: options.retryMs,
@@ -94,7 +90,7 @@
   }
 
   /** Whether the store failed this host a moment ago. */
-  isAwayLately(now: number): boolean {
+  hasStoreFailedRecently(now: number): boolean {
     return this.contact.isAway && now - this.failedAt < AWAY_LATELY_MS;
   }
 
@@ -102,7 +98,7 @@
   setRole(role: ReaderRole): void {
     if (isSameRole(role, this.role)) return;
     this.role = role;
-    this.turns.startAnew(0);
+    this.turns.startCycle(0);
     this.report.writeRole(role);
     if (this.hasTurn) this.resumeReading?.();
   }
@@ -146,11 +142,16 @@
    *
    * @returns Whether it made this copy younger.
    */
-  applyWord({newest, revision, ageMs, isTurn}: StoreWord): boolean {
+  applyFreshness({
+    newest,
+    revision,
+    ageMs,
+    isScheduledPoll,
+  }: TableFreshnessReport): boolean {
     const {replica} = this;
     if (!replica.isLoaded) return false;
     const at = this.clock.getNow() - ageMs;
-    if (isTurn) this.turns.recordTold(at);
+    if (isScheduledPoll) this.turns.recordPeerAnswer(at);
     const isYounger = this.age.acceptReport(
       {latestRevision: newest, at},
       replica.lastChange,
@@ -168,7 +169,7 @@
    *
    * @returns What the store showed; undefined when it gave no answer.
    */
-  async pollStore(): Promise<StoreNews | undefined> {
+  async pollStore(): Promise<StoreUpdate | undefined> {
     const {replica, store, table} = this;
     const {signal} = this.controller;
     if (!replica.isLoaded || this.mustReload) return undefined;
@@ -187,7 +188,7 @@
    * Takes news that another host has just read; ignores what has a gap. True
    * when some of it was not known.
    */
-  applyNews(
+  applyUpdate(
     rows: readonly ReplicaRow[],
     after: number,
     revision: number,
@@ -230,7 +231,7 @@
     const isWhole = this.mustReload || !replica.isLoaded;
     const startedAt = this.clock.getNow();
     const place = typeof this.role === 'object' ? this.role : ALONE;
-    const waitMs = isWhole ? 0 : this.turns.takeWaitMs(place, startedAt);
+    const waitMs = isWhole ? 0 : this.turns.takePollWaitMs(place, startedAt);
     const result = isWhole
       ? await store.readAll(table)
       : await store.readChanges(table, replica.revision, waitMs);
@@ -244,7 +245,7 @@
     if (this.isReading || news.rows.length > 0) this.storeChannel.post(news);
     const hasChanged = result.value.rows.length > 0;
     // Also when another reader told of it first: all were answered at once.
-    if (hasChanged) this.turns.startAnew(this.paceMs);
+    if (hasChanged) this.turns.startCycle(this.paceMs);
     // A store that does not wait as it was asked to is not asked all the time.
     const hasWaited = now - startedAt >= waitMs / 2;
     return hasChanged || !hasWaited ? this.paceMs : 0;
@@ -253,12 +254,12 @@
   /** The least time between two calls while changes come, in ms. */
   private get paceMs(): number {
     const {role, options} = this;
-    const isFirst = typeof role !== 'object' || role.place === 0;
+    const isFirst = typeof role !== 'object' || role.rank === 0;
     return isFirst ? options.paceMs : options.paceMs * STANDBY_FACTOR;
   }
 
   /** Takes changes that the store has shown. */
-  private applyRead({rows, revision}: TablePart, source: string): StoreNews {
+  private applyRead({rows, revision}: TableRows, source: string): StoreUpdate {
     const {replica} = this;
     const after = replica.lastChange;
     // Rows with the value that they had are told too: the next change follows
@@ -269,12 +270,12 @@
     return {rows: taken, after, newest: replica.lastChange, revision};
   }
 
-  private applyWhole({rows, revision}: TablePart): number {
+  private applyWhole({rows, revision}: TableRows): number {
     const {replica} = this;
     // A store that lags is asked again, unless another host gave its copy since.
     // Changes during the read are no reason: where they keep coming, it never ends.
     const lags = replica.isLoaded && revision < replica.revision;
-    if (lags) this.report.writeLag(revision, replica.revision);
+    if (lags) this.report.writeStaleRead(revision, replica.revision);
     else this.mustReload = false;
     const isRestored = this.isFirstOfEra(revision);
     this.apply(revision, 'store', () =>
@@ -296,7 +297,7 @@
   ): ReplicaRow[] {
     const {replica, settling, clock} = this;
     const isOlder = replica.isLoaded && revision < replica.revision;
-    if (isOlder || !settling.isUnderWay(clock.getNow())) {
+    if (isOlder || !settling.isActive(clock.getNow())) {
       return replica.applyAll(rows, revision);
     }
     const isUndecided =
@@ -358,18 +359,18 @@
     if (kind === 'store_history_lost') {
       this.recordContact(now);
       this.mustReload = true;
-      this.report.writeForgotten();
+      this.report.writeHistoryLost();
       return 0;
     }
-    if (!this.contact.isAway) this.report.writeAway(kind);
+    if (!this.contact.isAway) this.report.writeUnavailable(kind);
     this.contact.recordFailure(now);
     this.failedAt = now;
-    this.turns.startAnew(0);
+    this.turns.startCycle(0);
     return this.options.retryMs;
   }
 
   private recordContact(now: number): void {
-    if (this.contact.isAway) this.report.writeBack();
+    if (this.contact.isAway) this.report.writeAvailable();
     this.contact.recordSuccess(now);
   }
 
--- a/packages/gateway/tests/engine_groups.test.ts
+++ b/packages/gateway/tests/engine_groups.test.ts
@@ -2,13 +2,13 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {HostView, type EngineLocation} from '@irisdock/decisions';
-import {EngineGroups, type PeerPlace} from '@irisdock/gateway';
+import {EngineGroups, type PeerLocation} from '@irisdock/gateway';
 import {SeededRandom} from '@irisdock/kernel';
 
 const DOMAINS = 6;
 const TIMES = {lostAfterMs: 3000, forgetAfterMs: 60_000};
 
-function createPlace(at: number): PeerPlace {
+function createPlace(at: number): PeerLocation {
   return {
     failureDomain: `domain-${at % DOMAINS}`,
     datagrams: `10.0.0.1:${at}`,
@@ -17,7 +17,7 @@
   };
 }
 
-function createView(hosts: number): HostView<PeerPlace> {
+function createView(hosts: number): HostView<PeerLocation> {
   const createRecord = (at: number) =>
     ({
       name: `host-${at}`,
@@ -48,7 +48,7 @@
     const failureDomain = `domain-${at % DOMAINS}`;
     housed.push({instanceId: `i-${at}`, failureDomain});
   }
-  groups.engines = {version: 1, listHoused: () => housed};
+  groups.engines = {version: 1, listEngines: () => housed};
   return groups;
 }
 
--- a/scripts/check_soak.mjs
+++ b/scripts/check_soak.mjs
@@ -23,13 +23,13 @@
   ],
   [
     'an endpoint that leaves gets no work',
-    /return !this\.isGone && this\.entry\.state === "ready"/,
+    /return !this\.isRemoved && this\.entry\.state === "ready"/,
     'return true',
   ],
   [
     'a cut answer does not look whole',
-    /isWhole: \(\) => [^\n]*/,
-    'isWhole: () => true,',
+    /isComplete: \(\) => [^\n]*/,
+    'isComplete: () => true,',
   ],
   ['a planned stop waits for what it has', /, await waitDrained\([^;]*/, ''],
   [
