--- a/scripts/check_proofs.mjs
+++ b/scripts/check_proofs.mjs
@@ -191,7 +191,7 @@
   [
     'teams share the queue',
     `${DECISIONS}/fair_queue.js`,
-    'Math.max(this.virtualTime, queue.lastFinish)',
+    'Math.max(this.virtualTime, queue.lastFinishTag)',
     'this.virtualTime',
     'decisions/fair_queue',
     'shares by weight',
@@ -263,8 +263,8 @@
   [
     'an engine that failed is not tried before it answers',
     `${DECISIONS}/endpoint_choice.js`,
-    'request.mayRetryLost ? pool : answering',
-    'pool',
+    'request.mayRetryLost ? candidates : answering',
+    'candidates',
     'decisions/endpoint_choice',
     'if the request can wait',
   ],
