--- a/packages/decisions/src/address_answer.ts
+++ b/packages/decisions/src/address_answer.ts
@@ -1,75 +1,83 @@
 /**
- * Which hosts a caller is told to use: those of the caller's failure domain,
- * as calls within a domain are quicker and cost less, and some of others in
- * case that the domain is lost or has few hosts left. Which they are is drawn
- * anew for each answer, so that callers spread over all hosts, and for how long
- * an answer is kept differs too, so that they do not all come back at once.
+ * Chooses the hosts that a caller is told to use. They are mainly those of the
+ * caller's failure domain, as calls within a domain are faster and cheaper, and
+ * a few of other domains, in case the domain is lost or has few hosts left. The
+ * choice is random for each answer, so that callers spread over all hosts. The
+ * time for which an answer may be kept is random as well, so that callers do
+ * not all ask again at the same time.
  */
 import {getShuffled, type Random} from '@irisdock/kernel';
 import type {MemberNote} from './member.js';
 
 /** How many hosts an answer lists. */
 export interface AnswerLimits {
+  /** Maximum number of hosts. */
   readonly maxHosts: number;
-  /** Hosts of other failure domains that are listed at least. */
+  /** Minimum number of hosts of other failure domains. */
   readonly minOtherDomain: number;
-  /** Hosts that are listed at least, if so many serve. */
+  /** Minimum number of hosts, if so many serve. */
   readonly minHosts: number;
 }
 
-/** One address of the answer. */
+/** A host in an answer. */
 export interface ListedAddress {
   readonly address: string;
   readonly failureDomain: string;
 }
 
-/** What a caller is told. */
+/** The hosts that a caller is told to use. */
 export interface AddressAnswer {
   readonly addresses: readonly ListedAddress[];
+  /** For how long the caller may use this answer. */
   readonly keepForSeconds: number;
 }
 
-const SIZE: AnswerLimits = {maxHosts: 4, minOtherDomain: 1, minHosts: 4};
-const SPREAD_STEPS = 1000;
+const LIMITS: AnswerLimits = {maxHosts: 4, minOtherDomain: 1, minHosts: 4};
+/** Number of distinct values of the random factor of the keep time. */
+const JITTER_STEPS = 1000;
 
 /**
- * Chooses the hosts of an answer: near ones first, in random order.
+ * Chooses the hosts of an answer, in random order, those of the caller's
+ * failure domain first.
  *
- * @param callerDomain The caller's failure domain; undefined when it is not
- *     told, and all hosts are alike.
+ * @param callerDomain The caller's failure domain; undefined if unknown, so
+ *     that all hosts count as those of other domains.
  */
 export function chooseHosts<H extends {readonly failureDomain: string}>(
   serving: readonly H[],
   callerDomain: string | undefined,
-  size: AnswerLimits,
+  limits: AnswerLimits,
   random: Random,
 ): H[] {
   const shuffled = getShuffled(serving, random);
-  const near = shuffled.filter((host) => host.failureDomain === callerDomain);
-  const far = shuffled.filter((host) => host.failureDomain !== callerDomain);
-  const nearCount = Math.min(
-    near.length,
-    size.maxHosts - Math.min(size.minOtherDomain, far.length),
+  const local = shuffled.filter((host) => host.failureDomain === callerDomain);
+  const remote = shuffled.filter((host) => host.failureDomain !== callerDomain);
+  const localCount = Math.min(
+    local.length,
+    limits.maxHosts - Math.min(limits.minOtherDomain, remote.length),
   );
-  const farCount = Math.max(size.minOtherDomain, size.minHosts - nearCount);
-  return [...near.slice(0, nearCount), ...far.slice(0, farCount)];
+  const remoteCount = Math.max(
+    limits.minOtherDomain,
+    limits.minHosts - localCount,
+  );
+  return [...local.slice(0, localCount), ...remote.slice(0, remoteCount)];
 }
 
-/** Builds an answer from the hosts that serve. */
+/** Creates an answer from the hosts that serve. */
 export function chooseAddresses(
   serving: readonly MemberNote[],
   callerDomain: string | undefined,
   keepSeconds: number,
   random: Random,
 ): AddressAnswer {
-  const chosen = chooseHosts(serving, callerDomain, SIZE, random);
+  const chosen = chooseHosts(serving, callerDomain, LIMITS, random);
   const addresses = chosen.map(({callerAddress, failureDomain}) => ({
     address: callerAddress,
     failureDomain,
   }));
-  const spread = random.getInt(SPREAD_STEPS) / SPREAD_STEPS;
+  const jitter = random.getInt(JITTER_STEPS) / JITTER_STEPS;
   return {
     addresses,
-    keepForSeconds: Math.ceil(keepSeconds * (0.75 + spread / 2)),
+    keepForSeconds: Math.ceil(keepSeconds * (0.75 + jitter / 2)),
   };
 }
--- a/packages/decisions/src/configuration_state.ts
+++ b/packages/decisions/src/configuration_state.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration that a host has in force: a revision and the resources at
- * it. It moves forward by single changes or by a snapshot, never back.
+ * The configuration that a host uses: a revision and the resources as of it. It
+ * advances by single changes or by a snapshot, and never goes back.
  */
 import {
   getResourceKey,
@@ -11,32 +11,36 @@
   type Snapshot,
 } from '@irisdock/resources';
 
-/** What became of a change or snapshot that was offered. */
+/**
+ * The result of applying a change or snapshot: `gap` if an earlier change is
+ * missing, `old` if it is not newer than the current revision.
+ */
 export type ApplyResult = 'applied' | 'gap' | 'old';
 
-/** Resources at a revision. */
+/** The resources as of a revision. */
 export class ConfigurationState implements ResourceReader {
   private readonly resources = new Map<string, Resource>();
   private readonly log: Change[] = [];
-  private current = 0;
+  private currentRevision = 0;
 
+  /** @param maxLog The number of recent changes to keep. */
   constructor(private readonly maxLog: number) {}
 
-  /** The revision in force; 0 before the first. */
+  /** The current revision; 0 before the first change. */
   get revision(): number {
-    return this.current;
+    return this.currentRevision;
   }
 
-  /** The revision after which all changes are still known. */
+  /** The revision after which all changes are still in the log. */
   get logStartRevision(): number {
-    return (this.log[0]?.revision ?? this.current + 1) - 1;
+    return (this.log[0]?.revision ?? this.currentRevision + 1) - 1;
   }
 
-  /** Applies the change when it is the next one. */
+  /** Applies a change if it is the next one. */
   applyChange(change: Change): ApplyResult {
-    if (change.revision <= this.current) return 'old';
-    if (change.revision !== this.current + 1) return 'gap';
-    this.current = change.revision;
+    if (change.revision <= this.currentRevision) return 'old';
+    if (change.revision !== this.currentRevision + 1) return 'gap';
+    this.currentRevision = change.revision;
     const key = getResourceKey(change.kind, change.name);
     if (change.action === 'delete') this.resources.delete(key);
     else this.resources.set(key, createResource(change));
@@ -45,9 +49,9 @@
     return 'applied';
   }
 
-  /** Takes a snapshot in place of everything when it is newer. */
+  /** Replaces everything by a snapshot if it is newer. */
   applySnapshot(snapshot: Snapshot): ApplyResult {
-    if (snapshot.revision <= this.current) return 'old';
+    if (snapshot.revision <= this.currentRevision) return 'old';
     this.resources.clear();
     for (const resource of snapshot.resources) {
       this.resources.set(
@@ -55,17 +59,23 @@
         resource,
       );
     }
-    this.current = snapshot.revision;
+    this.currentRevision = snapshot.revision;
     this.log.length = 0;
     return 'applied';
   }
 
-  /** Gives a snapshot of what is in force. */
+  /** Returns a snapshot of the current resources. */
   getSnapshot(): Snapshot {
-    return {revision: this.current, resources: [...this.resources.values()]};
+    return {
+      revision: this.currentRevision,
+      resources: [...this.resources.values()],
+    };
   }
 
-  /** Gives the changes after a revision; undefined when some are forgotten. */
+  /**
+   * Returns the changes after a revision; undefined if some of them are no
+   * longer in the log.
+   */
   getChangesAfter(revision: number): readonly Change[] | undefined {
     if (revision < this.logStartRevision) return undefined;
     return this.log.slice(Math.max(0, revision - this.logStartRevision));
--- a/packages/decisions/src/errors.ts
+++ b/packages/decisions/src/errors.ts
@@ -1,7 +1,7 @@
-/** What decisions refuse. */
+/** The errors of admission and of resuming a stream, as callers get them. */
 import {createErrorTable} from '@irisdock/kernel';
 
-/** Error kinds of the decisions. */
+/** The kinds of errors, with status, message and remedy. */
 export const DECISION_ERRORS = createErrorTable({
   bad_resume_data: {
     status: 400,
--- a/packages/decisions/src/event_progress.ts
+++ b/packages/decisions/src/event_progress.ts
@@ -1,58 +1,61 @@
 /**
- * How far a stream has come at its caller. Events that the caller has are
- * left out; when a second engine goes on, the first event that it brings must
- * be the one that follows, as a missing one could not be made up for.
+ * Tracks which events of a stream the caller has received. Events that it has
+ * already are filtered out. After a failover the first new event of the next
+ * engine must directly follow the last one, as a missing event could not be
+ * sent later.
  */
 import type {ServerSentEvent} from './event_splitter.js';
 
-/** What of some events goes to the caller. */
+/** The result of filtering received events. */
 export interface AcceptedEvents {
+  /** The events to send to the caller. */
   readonly newEvents: readonly Buffer[];
-  /** Whether events are missing before the first that is not repeated. */
+  /** Whether events are missing before the first new one after a failover. */
   readonly hasGap: boolean;
 }
 
 /** The progress of one stream. */
 export class EventProgress {
-  /** How much the id rises from event to event, once two are known. */
+  /** The difference between the ids of consecutive events, once known. */
   private step: number | undefined;
-  private isAfterLoss = false;
+  /** Whether no new event has arrived since the last failover. */
+  private isAfterFailover = false;
 
-  /** @param last The id of the last event that the caller has. */
+  /** @param last The id of the last event that the caller has received. */
   constructor(private last: number | undefined) {}
 
-  /** The id of the last event that went to the caller. */
+  /** The id of the last event sent to the caller. */
   get lastEventId(): number | undefined {
     return this.last;
   }
 
-  /** Takes it that another engine goes on. */
+  /** Records that another engine continues the stream. */
   markFailover(): void {
-    this.isAfterLoss = true;
+    this.isAfterFailover = true;
   }
 
-  /** Takes events in the order in which they arrived. */
+  /** Filters events in the order of their arrival. */
   accept(events: readonly ServerSentEvent[]): AcceptedEvents {
-    const fresh: Buffer[] = [];
+    const newEvents: Buffer[] = [];
     for (const {id, bytes} of events) {
       if (id === undefined) {
-        fresh.push(bytes);
+        newEvents.push(bytes);
         continue;
       }
       const {last} = this;
       if (last !== undefined && id <= last) continue;
-      if (this.isGapBefore(id)) return {newEvents: fresh, hasGap: true};
-      if (last !== undefined && !this.isAfterLoss) this.step = id - last;
-      this.isAfterLoss = false;
+      if (this.isGapBefore(id)) return {newEvents, hasGap: true};
+      if (last !== undefined && !this.isAfterFailover) this.step = id - last;
+      this.isAfterFailover = false;
       this.last = id;
-      fresh.push(bytes);
+      newEvents.push(bytes);
     }
-    return {newEvents: fresh, hasGap: false};
+    return {newEvents, hasGap: false};
   }
 
   private isGapBefore(id: number): boolean {
     const {last, step} = this;
-    if (!this.isAfterLoss || last === undefined || step === undefined) {
+    if (!this.isAfterFailover || last === undefined || step === undefined) {
       return false;
     }
     return id > last + step;
--- a/packages/decisions/src/event_splitter.ts
+++ b/packages/decisions/src/event_splitter.ts
@@ -1,64 +1,68 @@
 /**
- * Cuts the bytes of an event stream into whole events. An engine may die in
- * the middle of an event; what is not whole is never passed on.
+ * Splits the bytes of a stream of server-sent events into complete events. An
+ * engine may fail in the middle of an event; incomplete events are not passed
+ * on.
  */
 
-/** A whole event with the bytes that it came in. */
+/** A complete server-sent event. */
 export interface ServerSentEvent {
-  /** Undefined when the event has no numeric id. */
+  /** Undefined if the event has no numeric id. */
   readonly id: number | undefined;
+  /** The event as received, including the empty line at its end. */
   readonly bytes: Buffer;
 }
 
-/** Two line ends in a row, as each of the usual line ends has them. */
+/** The ends of an event, for LF and for CRLF line endings. */
 const SEPARATORS = [Buffer.from('\n\n'), Buffer.from('\r\n\r\n')];
-/** Enough for bytes that hold no carriage return. */
-const PLAIN_SEPARATORS = SEPARATORS.slice(0, 1);
+/** The ends of an event in bytes without carriage returns. */
+const LF_SEPARATORS = SEPARATORS.slice(0, 1);
 const ID_LINE = /^id: ?(\d{1,15})\r?$/m;
 const ID_PREFIX = Buffer.from('id: ');
+/** Maximum length of an id. */
 const MAX_DIGITS = 15;
 const ZERO = 0x30;
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 
-/** Cuts bytes into events. */
+/** Splits bytes into events. */
 export class EventSplitter {
+  /** The bytes of an incomplete event. */
   private rest: Buffer = Buffer.alloc(0);
 
-  /** Bytes that are no whole event yet. */
+  /** The number of bytes of an incomplete event. */
   get pendingBytes(): number {
     return this.rest.length;
   }
 
-  /** Takes bytes as they arrive; gives the events that became whole. */
+  /** Adds received bytes; returns the events that they complete. */
   add(bytes: Buffer): ServerSentEvent[] {
     const all =
       this.rest.length === 0 ? bytes : Buffer.concat([this.rest, bytes]);
-    const isPlain = !all.includes(CARRIAGE_RETURN);
-    const separators = isPlain ? PLAIN_SEPARATORS : SEPARATORS;
+    const hasOnlyLf = !all.includes(CARRIAGE_RETURN);
+    const separators = hasOnlyLf ? LF_SEPARATORS : SEPARATORS;
     const events: ServerSentEvent[] = [];
-    let from = 0;
+    let start = 0;
     for (;;) {
-      const end = findEventEnd(all, from, separators);
+      const end = findEventEnd(all, start, separators);
       if (end === undefined) break;
-      events.push(createEvent(all.subarray(from, end)));
-      from = end;
+      events.push(createEvent(all.subarray(start, end)));
+      start = end;
     }
-    this.rest = all.subarray(from);
+    this.rest = all.subarray(start);
     return events;
   }
 }
 
 function findEventEnd(
   bytes: Buffer,
-  from: number,
+  start: number,
   separators: readonly Buffer[],
 ): number | undefined {
   let end: number | undefined;
   for (const separator of separators) {
-    const at = bytes.indexOf(separator, from);
-    if (at === -1) continue;
-    end = Math.min(end ?? Infinity, at + separator.length);
+    const index = bytes.indexOf(separator, start);
+    if (index === -1) continue;
+    end = Math.min(end ?? Infinity, index + separator.length);
   }
   return end;
 }
@@ -68,27 +72,27 @@
   return {id, bytes};
 }
 
-/** Reads the id of an event that begins with it, as most do, byte by byte. */
+/** Reads the id of an event that begins with it, as most events do. */
 function readLeadingId(bytes: Buffer): number | undefined {
-  for (let at = 0; at < ID_PREFIX.length; at++) {
-    if (bytes[at] !== ID_PREFIX[at]) return undefined;
+  for (let index = 0; index < ID_PREFIX.length; index++) {
+    if (bytes[index] !== ID_PREFIX[index]) return undefined;
   }
   let id = 0;
   const last = ID_PREFIX.length + MAX_DIGITS;
-  for (let at = ID_PREFIX.length; at <= last; at++) {
-    const digit = (bytes[at] ?? 0) - ZERO;
+  for (let index = ID_PREFIX.length; index <= last; index++) {
+    const digit = (bytes[index] ?? 0) - ZERO;
     const isDigit = digit >= 0 && digit <= 9;
-    if (isDigit && at < last) {
+    if (isDigit && index < last) {
       id = id * 10 + digit;
       continue;
     }
-    const isLineEnd = bytes[at] === LINE_FEED;
-    return isLineEnd && at > ID_PREFIX.length ? id : undefined;
+    const isLineEnd = bytes[index] === LINE_FEED;
+    return isLineEnd && index > ID_PREFIX.length ? id : undefined;
   }
   return undefined;
 }
 
-/** Finds the id of any event. */
+/** Finds the id of an event wherever its line is. */
 function findId(bytes: Buffer): number | undefined {
   const id = ID_LINE.exec(bytes.toString('latin1'))?.[1];
   return id === undefined ? undefined : Number(id);
--- a/packages/decisions/src/generation_number.ts
+++ b/packages/decisions/src/generation_number.ts
@@ -1,20 +1,25 @@
 /**
- * Generation numbers order the runs of one request. A host that takes a
- * request over uses higher numbers than the host before it, whatever that one
- * does meanwhile, and each new attempt of a host uses a higher one again.
+ * Generation numbers order the attempts to run a request. A host that takes a
+ * request over uses higher numbers than the host before it, whatever that host
+ * does in the meantime. Each further attempt of a host uses a higher number.
  */
 
-const ATTEMPTS = 2 ** 20;
+const ATTEMPTS_PER_TAKEOVER = 2 ** 20;
 
-/** Gives the number of an attempt (from 1) after so many take-overs. */
+/**
+ * Creates a generation number.
+ *
+ * @param takeover How often the request was taken over by another host.
+ * @param attempt The number of the attempt of this host, from 1.
+ */
 export function createGenerationNumber(
   takeover: number,
   attempt: number,
 ): number {
-  return takeover * ATTEMPTS + attempt;
+  return takeover * ATTEMPTS_PER_TAKEOVER + attempt;
 }
 
-/** Gives how many hosts had taken the request over at that number. */
+/** Returns how often the request had been taken over. */
 export function getTakeoverCount(generation: number): number {
-  return Math.floor(generation / ATTEMPTS);
+  return Math.floor(generation / ATTEMPTS_PER_TAKEOVER);
 }
--- a/packages/decisions/src/hash.ts
+++ b/packages/decisions/src/hash.ts
@@ -1,14 +1,14 @@
-/** Hashing for placement: fast, even, and the same on every host. */
+/** Hash functions for placement: fast, uniform and equal on all hosts. */
 import xxhash from 'xxhash-wasm';
 
 const hasher = await xxhash();
 
-/** Gives a text's hash as a whole number below 2^32. */
+/** Computes a hash of a text, an integer below 2^32. */
 export function hashText(text: string): number {
   return hasher.h32(text);
 }
 
-/** Gives a text's 64-bit hash in hexadecimal. */
+/** Computes a 64-bit hash of a text, in hexadecimal. */
 export function hashToHex(text: string): string {
   return hasher.h64ToString(text);
 }
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -1,4 +1,8 @@
-/** Pure decisions, each beside its naive version. */
+/**
+ * The decision logic of hosts as pure functions and classes without I/O, and
+ * naive implementations of some decisions that tests and benchmarks compare
+ * them with.
+ */
 export * from './address_answer.js';
 export * from './answer_assembler.js';
 export * from './isolated_placement.js';
--- a/packages/decisions/src/leader_candidates.ts
+++ b/packages/decisions/src/leader_candidates.ts
@@ -1,19 +1,20 @@
 /**
- * Which hosts try to do a piece of work that one host does at a time. All
- * hosts that see the same members choose the same ones; when they do not, a
- * lease or a compare-and-set keeps the work single.
+ * Chooses the hosts that try to become the leader for a task that only one host
+ * performs at a time. Hosts that see the same members choose the same
+ * candidates. If they see different members, a lease or a compare-and-set on
+ * the store still ensures a single leader.
  */
 import {hashText} from './hash.js';
 
-/** Chooses up to `count` hosts for a duty, the first in line first. */
+/** Chooses up to `count` hosts by rendezvous hash of the task, best first. */
 export function chooseLeaderCandidates(
-  duty: string,
+  task: string,
   hostIds: readonly string[],
   count: number,
 ): string[] {
   const ranked = hostIds.map((hostId) => ({
     hostId,
-    rank: hashText(`${duty} ${hostId}`),
+    rank: hashText(`${task} ${hostId}`),
   }));
   ranked.sort((a, b) => a.rank - b.rank || (a.hostId < b.hostId ? -1 : 1));
   return ranked.slice(0, count).map(({hostId}) => hostId);
--- a/packages/decisions/src/naive/naive_assembler.ts
+++ b/packages/decisions/src/naive/naive_assembler.ts
@@ -1,11 +1,14 @@
-/** The naive way to assemble: pass on whatever comes until the first end. */
+/**
+ * Baseline that `AnswerAssembler` is compared with: passes on every token until
+ * the first end.
+ */
 import type {
   GenerationEnd,
   Token,
   AssemblyDecision,
 } from '../answer_assembler.js';
 
-/** Believes every token and every end. */
+/** Passes on every token and accepts every end. */
 export class NaiveAssembler {
   acceptToken(token: Token): AssemblyDecision {
     return {action: 'pass', offset: token.offset, text: token.text};
--- a/packages/decisions/src/naive/naive_loss_response.ts
+++ b/packages/decisions/src/naive/naive_loss_response.ts
@@ -1,7 +1,10 @@
-/** The naive way after a loss: start the whole answer over, every time. */
+/**
+ * Baseline that `decideLossResponse` is compared with: always runs the request
+ * again.
+ */
 import type {LossResponse} from '../loss_response.js';
 
-/** Always begins again. */
+/** Always runs the request again. */
 export function decideNaively(): LossResponse {
   return 'continue';
 }
--- a/packages/decisions/src/naive/naive_record_fit.ts
+++ b/packages/decisions/src/naive/naive_record_fit.ts
@@ -1,7 +1,7 @@
-/** The naive way to take an answer up again: by its offset alone. */
+/** Baseline for `record_fit.ts`: decides to resume by the offset alone. */
 import type {FitState} from '../record_fit.js';
 
-/** Takes any kept answer for the caller's, as the offset is there. */
+/** Accepts any kept answer that contains the offset. */
 export function isOffsetFit(state: FitState): boolean {
   return state.fromOffset >= 0;
 }
--- a/packages/decisions/src/naive/naive_route.ts
+++ b/packages/decisions/src/naive/naive_route.ts
@@ -1,7 +1,7 @@
-/** The route of a request by looking at every route. */
+/** Reference implementation for `route_table.ts`: looks at every route. */
 import type {RouteKey} from '../route_table.js';
 
-/** Finds the route with the longest prefix, one route after the other. */
+/** Finds the route with the longest matching prefix, by a linear search. */
 export function findRouteNaively<R extends RouteKey>(
   routes: readonly R[],
   hostName: string,
@@ -12,7 +12,7 @@
     if (route.hostName !== hostName) continue;
     if (!path.startsWith(route.pathPrefix)) continue;
     const length = best?.pathPrefix.length ?? -1;
-    // Of two routes at the same place the later one holds.
+    // Of two routes with the same prefix, the later one is used.
     if (route.pathPrefix.length >= length) best = route;
   }
   return best;
--- a/packages/decisions/src/permit_retry_delay.ts
+++ b/packages/decisions/src/permit_retry_delay.ts
@@ -1,35 +1,39 @@
 /**
- * How long a host that got no permit asks for none. Where the limit is low and
- * hosts are many, most questions bring nothing, and all go to one host: at 350
- * hosts that ask each 250 ms some 1,400 questions a second, 8% of a core there.
- * The pause grows with the hosts that ask, so that their questions together stay
- * at a pace that follows the limit.
+ * Computes how long a host waits before it asks again for a permit to send a
+ * request to a rate-limited endpoint. If the limit is low and hosts are many,
+ * most requests for permits are denied, and all of them go to one host: 350
+ * hosts that ask every 250 ms send it 1,400 a second, which takes 8% of a core.
+ * The delay therefore grows with the number of asking hosts, so that their
+ * total rate depends only on the limit.
  */
 
-/** Questions a second from all hosts together at any limit, without a permit. */
-const ASKS_PER_SECOND = 50;
-/** The same for each request a second of the limit, so that it can be used. */
+/** Minimum total rate of permit requests of all hosts, per second. */
+const MIN_ASKS_PER_SECOND = 50;
+/** Permit requests for each permit of the limit, so that it can be used up. */
 const ASKS_PER_PERMIT = 3;
 /**
- * The longest pause where few hosts ask, in ms: a permit may come earlier than
- * was said, by a higher limit or one that other hosts left.
+ * The maximum delay if few hosts ask, in ms. A permit may be available earlier
+ * than expected, because the limit was raised or other hosts left some unused.
  */
-const MOST_ALONE_MS = 250;
-const MILLI = 1000;
+const MAX_DELAY_OF_FEW_MS = 250;
+const MS_PER_SECOND = 1000;
 
 /**
- * Computes the pause, in ms.
+ * Computes the delay, in ms.
  *
- * @param askers Hosts that asked of late.
- * @param perSecond The whole limit, however many hosts hand it out.
- * @param waitMs Until the next permit, in ms.
+ * @param askers The number of hosts that asked recently.
+ * @param perSecond The whole limit, however many hosts issue its permits.
+ * @param waitMs The expected time until the next permit, in ms.
  */
 export function computePermitRetryDelayMs(
   askers: number,
   perSecond: number,
   waitMs: number,
 ): number {
-  const pace = Math.max(ASKS_PER_SECOND, ASKS_PER_PERMIT * perSecond);
-  const sharedMs = (askers * MILLI) / pace;
-  return Math.max(sharedMs, Math.min(MOST_ALONE_MS, waitMs));
+  const asksPerSecond = Math.max(
+    MIN_ASKS_PER_SECOND,
+    ASKS_PER_PERMIT * perSecond,
+  );
+  const sharedMs = (askers * MS_PER_SECOND) / asksPerSecond;
+  return Math.max(sharedMs, Math.min(MAX_DELAY_OF_FEW_MS, waitMs));
 }
--- a/packages/decisions/src/replica_age.ts
+++ b/packages/decisions/src/replica_age.ts
@@ -1,54 +1,57 @@
 /**
- * How long ago a copy of a table was certainly the newest: by an answer of the
- * store to this host, or by another host's word for the changes that the copy
- * holds. A word for more than it holds counts once the copy has caught up.
+ * Tracks the age of a table replica: how long ago it was certainly up to date.
+ * That is confirmed by a read of the store, or by a report of another host that
+ * read it. A report of a revision that the replica has not reached yet counts
+ * as soon as the replica has caught up.
  */
 
-/** What a host that read the store says of a table. */
+/** What a host that read the store reports of a table. */
 export interface FreshnessReport {
-  /** The highest revision of a change that there was. */
+  /** The highest revision of a change in the store. */
   readonly latestRevision: number;
-  /** When that was so, in ms on the clock of whoever takes the word. */
+  /** When the store was read, in ms on the clock of the receiver. */
   readonly at: number;
 }
 
-/** The age of a copy. */
+/** The age of a replica. */
 export class ReplicaAge {
-  private certainAt = -Infinity;
-  /** A word for changes that the copy lacks. */
+  /** When the replica was last known to be up to date, in ms. */
+  private confirmedAt = -Infinity;
+  /** The latest report of a revision that the replica has not reached yet. */
   private ahead: FreshnessReport | undefined;
 
-  /** Gives the age, in ms; Infinity when nobody has vouched for the copy. */
+  /** Returns the age in ms; Infinity if the replica was never confirmed. */
   getAgeMs(now: number): number {
-    return now - this.certainAt;
+    return now - this.confirmedAt;
   }
 
-  /** Takes it that the store itself showed the copy to be the newest. */
+  /** Records that a read of the store has brought the replica up to date. */
   recordStoreRead(now: number): void {
-    this.certainAt = Math.max(this.certainAt, now);
+    this.confirmedAt = Math.max(this.confirmedAt, now);
   }
 
   /**
-   * Takes a word.
+   * Applies a report of another host.
    *
-   * @param held The highest revision of a change that the copy holds.
-   * @returns Whether the word made the copy younger.
+   * @param current The highest revision of a change in the replica.
+   * @returns Whether the report lowered the age.
    */
-  acceptReport(word: FreshnessReport, held: number): boolean {
-    if (word.latestRevision > held) {
-      const isNewer = word.latestRevision >= (this.ahead?.latestRevision ?? 0);
-      if (isNewer) this.ahead = word;
+  acceptReport(report: FreshnessReport, current: number): boolean {
+    if (report.latestRevision > current) {
+      const isNewer =
+        report.latestRevision >= (this.ahead?.latestRevision ?? 0);
+      if (isNewer) this.ahead = report;
       return false;
     }
-    if (word.at <= this.certainAt) return false;
-    this.certainAt = word.at;
+    if (report.at <= this.confirmedAt) return false;
+    this.confirmedAt = report.at;
     return true;
   }
 
-  /** Takes it that the copy holds changes up to a revision now. */
-  recordRevision(held: number): void {
-    if (this.ahead === undefined || this.ahead.latestRevision > held) return;
-    this.certainAt = Math.max(this.certainAt, this.ahead.at);
+  /** Records that the replica now contains all changes up to a revision. */
+  recordRevision(current: number): void {
+    if (this.ahead === undefined || this.ahead.latestRevision > current) return;
+    this.confirmedAt = Math.max(this.confirmedAt, this.ahead.at);
     this.ahead = undefined;
   }
 }
--- a/packages/decisions/src/replica_check_schedule.ts
+++ b/packages/decisions/src/replica_check_schedule.ts
@@ -1,43 +1,45 @@
 /**
- * When a host asks the store itself whether its copy of a table is still the
- * newest. Usually a few hosts read for all, and their word keeps every copy
- * young. Whatever befalls them, a copy that nobody has vouched for in time is
- * checked by its own host, so that what was confirmed is in force in time on
- * every host that the store answers.
+ * Decides when a host checks with the store itself whether its replica of a
+ * table is up to date. Normally a few hosts read the store for all, and their
+ * reports keep the age of every replica low. If they fail, each host checks a
+ * replica that has not been confirmed in time, so that committed changes take
+ * effect in time on every host that can reach the store.
  */
 import type {Random} from '@irisdock/kernel';
 
 /**
- * Hosts turn to the store at moments drawn from so much time for each of them,
- * so that one has the answer for all before most have asked; both in ms.
+ * Checks are spread randomly over a period that grows with the number of hosts,
+ * so that one of them can report the result to all before most have asked.
  */
 const SPREAD_MS_PER_HOST = 20;
 const MAX_SPREAD_MS = 250;
-/** After failures in a row: the first and the longest pause, in ms. */
+/** The delay after a failure; it grows by a factor with each further one. */
 const FIRST_PAUSE_MS = 300;
 const PAUSE_GROWTH = 3;
 const MAX_PAUSE_MS = 3000;
-/** Pauses are drawn from this part of their length up. */
-const LEAST_PAUSE_PART = 0.5;
-const PARTS = 1000;
+/** Delays are random between this share of their length and all of it. */
+const MIN_PAUSE_SHARE = 0.5;
+/** The number of distinct random values. */
+const RANDOM_STEPS = 1000;
 
-/** Decides when the copies of a host are checked. */
+/** Decides when the replicas of a host are checked. */
 export class ReplicaCheckSchedule {
+  /** Failed checks since the last successful one. */
   private failures = 0;
   private pausedUntil = -Infinity;
-  /** The place of this host among those that check, from 0 to 1. */
-  private drawn: number;
+  /** The random position of this host's check in the spread, from 0 to 1. */
+  private spreadPosition: number;
 
   constructor(private readonly random: Random) {
-    this.drawn = this.chooseMoment();
+    this.spreadPosition = this.chooseFraction();
   }
 
   /**
-   * Gives how long from now the copy is checked, in ms; 0 for at once.
+   * Returns the delay until the replica has to be checked, in ms; 0 for now.
    *
-   * @param ageMs How long ago the copy was certainly the newest.
+   * @param ageMs How long ago the replica was certainly up to date.
    * @param maxAgeMs The age from which it is checked.
-   * @param hostCount The hosts that may check at the same time.
+   * @param hostCount The number of hosts that may check at the same time.
    */
   getDelayMs(
     ageMs: number,
@@ -46,30 +48,31 @@
     now: number,
   ): number {
     const spreadMs = Math.min(MAX_SPREAD_MS, SPREAD_MS_PER_HOST * hostCount);
-    const dueMs = maxAgeMs + this.drawn * spreadMs - ageMs;
+    const dueMs = maxAgeMs + this.spreadPosition * spreadMs - ageMs;
     return Math.max(0, dueMs, this.pausedUntil - now);
   }
 
-  /** Takes it that the store has answered. */
+  /** Records that the store answered a check. */
   recordSuccess(): void {
     this.failures = 0;
-    this.drawn = this.chooseMoment();
+    this.spreadPosition = this.chooseFraction();
   }
 
-  /** Takes it that the store did not answer. */
+  /** Records that the store did not answer a check. */
   recordFailure(now: number): void {
     const pauseMs = Math.min(
       MAX_PAUSE_MS,
       FIRST_PAUSE_MS * PAUSE_GROWTH ** this.failures,
     );
     this.failures++;
-    this.drawn = this.chooseMoment();
-    const part =
-      LEAST_PAUSE_PART + this.chooseMoment() * (1 - LEAST_PAUSE_PART);
-    this.pausedUntil = now + pauseMs * part;
+    this.spreadPosition = this.chooseFraction();
+    const share =
+      MIN_PAUSE_SHARE + this.chooseFraction() * (1 - MIN_PAUSE_SHARE);
+    this.pausedUntil = now + pauseMs * share;
   }
 
-  private chooseMoment(): number {
-    return this.random.getInt(PARTS) / PARTS;
+  /** Chooses a random number from 0 to below 1. */
+  private chooseFraction(): number {
+    return this.random.getInt(RANDOM_STEPS) / RANDOM_STEPS;
   }
 }
--- a/packages/decisions/tests/answer_assembler.test.ts
+++ b/packages/decisions/tests/answer_assembler.test.ts
@@ -1,4 +1,7 @@
-/** Each token exactly once; no two generations mixed; crossed tokens drop. */
+/**
+ * Guards against answers with missing, repeated or foreign tokens, and against
+ * answers that mix two generations.
+ */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
@@ -14,6 +17,7 @@
 const REQUEST = 'r1';
 const COUNT = 12;
 
+/** What an engine sends. */
 type Item = {readonly token: Token} | {readonly end: GenerationEnd};
 
 interface Assembler {
@@ -31,7 +35,7 @@
   return {request: REQUEST, generation: 1, count: COUNT, reason, ...change};
 }
 
-/** Feeds items until an end or a loss; gives what was passed on. */
+/** Feeds items until an end or a loss; returns what was passed on. */
 function runItems(
   assembler: Assembler,
   items: readonly Item[],
@@ -51,7 +55,7 @@
   return {text: texts.join(' '), ended: false, lost: false};
 }
 
-/** A generation's items with faults strewn in. */
+/** The items of a generation with random faults. */
 const FAULTY_ITEMS = fc
   .array(
     fc.record({
@@ -103,12 +107,12 @@
       want: {text: '', ended: false, lost: false},
     },
     {
-      name: 'loses the stream at a missing token',
+      name: 'reports a loss at a missing token',
       items: [{token: createToken(0)}, {token: createToken(2)}],
       want: {text: 't0', ended: false, lost: true},
     },
     {
-      name: 'loses the stream at an end before the last token',
+      name: 'reports a loss at an end before the last token',
       items: [{token: createToken(0)}, {end: createEnd()}],
       want: {text: 't0', ended: false, lost: true},
     },
@@ -132,7 +136,7 @@
     assert.deepEqual(verdict, {action: 'drop', reason: 'after_end'});
   });
 
-  it('passes on only what is whole, whatever comes', () => {
+  it('passes on a prefix of the answer, whatever the faults', () => {
     fc.assert(
       fc.property(FAULTY_ITEMS, (items) => {
         const result = runItems(new AnswerAssembler(REQUEST, 1, 0), items);
@@ -143,22 +147,22 @@
     );
   });
 
-  it('goes on from a loss with the next generation, without a seam', () => {
+  it('continues exactly after a loss with the next generation', () => {
     fc.assert(
       fc.property(FAULTY_ITEMS, fc.nat(COUNT), (items, cut) => {
         const assembler = new AnswerAssembler(REQUEST, 1, 0);
         const first = runItems(assembler, items.slice(0, cut));
-        const from = assembler.nextOffset;
+        const nextOffset = assembler.nextOffset;
         assembler.setGeneration(2);
-        const rest: Item[] = [];
-        // The first generation's late tokens come between the second's.
-        for (let offset = from; offset < COUNT; offset++) {
-          rest.push({token: createToken(offset, {text: 'late'})});
-          rest.push({token: createToken(offset, {generation: 2})});
+        const lateItems: Item[] = [];
+        // Late tokens of the first generation arrive between the new ones.
+        for (let offset = nextOffset; offset < COUNT; offset++) {
+          lateItems.push({token: createToken(offset, {text: 'late'})});
+          lateItems.push({token: createToken(offset, {generation: 2})});
         }
-        rest.push({end: createEnd({generation: 2})});
+        lateItems.push({end: createEnd({generation: 2})});
         if (assembler.isComplete) return;
-        const second = runItems(assembler, rest);
+        const second = runItems(assembler, lateItems);
         assert.ok(second.ended);
         const text = [first.text, second.text].filter((t) => t !== '');
         assert.equal(text.join(' '), WHOLE);
@@ -167,18 +171,18 @@
     );
   });
 
-  it('differs from the naive way exactly where the naive way is wrong', () => {
-    let naiveWrong = 0;
+  it('differs from the naive version only where that one is wrong', () => {
+    let naiveFailures = 0;
     fc.assert(
       fc.property(FAULTY_ITEMS, (items) => {
         const naive = runItems(new NaiveAssembler(), items);
-        const ours = runItems(new AnswerAssembler(REQUEST, 1, 0), items);
-        const naiveIsRight = naive.text === WHOLE && naive.ended;
-        if (naiveIsRight) assert.deepEqual(ours, naive);
-        else naiveWrong++;
+        const actual = runItems(new AnswerAssembler(REQUEST, 1, 0), items);
+        const isNaiveRight = naive.text === WHOLE && naive.ended;
+        if (isNaiveRight) assert.deepEqual(actual, naive);
+        else naiveFailures++;
       }),
       RUN_OPTIONS,
     );
-    assert.ok(naiveWrong > 0, 'the faults must break the naive way');
+    assert.ok(naiveFailures > 0, 'the faults must break the naive version');
   });
 });
--- a/packages/decisions/tests/configuration_state.test.ts
+++ b/packages/decisions/tests/configuration_state.test.ts
@@ -1,4 +1,7 @@
-/** Configuration moves forward only, and ends the same on every host. */
+/**
+ * The configuration of a host never goes back, and converges whatever the order
+ * of changes; and the decision whether a host may serve during an outage.
+ */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
@@ -32,7 +35,7 @@
   createChange(index + 1, index % 5 === 4),
 );
 
-/** The naive way: keep whatever came last for each name. */
+/** A baseline that keeps the change that arrived last for each name. */
 function applyNaively(deliveries: readonly Change[]): string {
   const kept = new Map<string, unknown>();
   for (const change of deliveries) {
@@ -50,30 +53,32 @@
 const IN_ORDER = applyNaively(CHANGES);
 
 describe('ConfigurationState', () => {
-  it('never goes back and ends right, however changes arrive', () => {
+  it('never goes back and converges, however changes arrive', () => {
     const deliveries = fc.array(fc.nat(CHANGES.length - 1), {maxLength: 60});
-    let naiveWrong = 0;
+    let naiveFailures = 0;
     fc.assert(
       fc.property(deliveries, (order) => {
         const state = new ConfigurationState(100);
-        const given = order.flatMap((index) => CHANGES[index] ?? []);
-        for (const change of given) {
+        const delivered = order.flatMap((index) => CHANGES[index] ?? []);
+        for (const change of delivered) {
           const before = state.revision;
           state.applyChange(change);
           assert.ok(state.revision >= before);
         }
         for (const change of CHANGES) state.applyChange(change);
         assert.equal(formatState(state), IN_ORDER);
-        if (applyNaively([...given, ...CHANGES, ...given]) !== IN_ORDER) {
-          naiveWrong++;
+        if (
+          applyNaively([...delivered, ...CHANGES, ...delivered]) !== IN_ORDER
+        ) {
+          naiveFailures++;
         }
       }),
       RUN_OPTIONS,
     );
-    assert.ok(naiveWrong > 0, 'the naive way must go back in some run');
+    assert.ok(naiveFailures > 0, 'the baseline must go back in some run');
   });
 
-  it('takes no snapshot older than what is in force', () => {
+  it('rejects a snapshot older than the current revision', () => {
     const state = new ConfigurationState(100);
     for (const change of CHANGES) state.applyChange(change);
     const old = {revision: 3, resources: []};
@@ -81,7 +86,7 @@
     assert.equal(formatState(state), IN_ORDER);
   });
 
-  it('gives the changes after a revision, or says that they are gone', () => {
+  it('returns the changes after a revision if they are still known', () => {
     const state = new ConfigurationState(5);
     for (const change of CHANGES) state.applyChange(change);
     const last = state.getChangesAfter(9);
@@ -93,7 +98,7 @@
     assert.deepEqual(state.getChangesAfter(12), []);
   });
 
-  it('says that a change is missing', () => {
+  it('reports a missing change', () => {
     const state = new ConfigurationState(5);
     assert.equal(state.applyChange(createChange(2)), 'gap');
     assert.equal(state.applyChange(createChange(1)), 'applied');
@@ -114,14 +119,14 @@
     state: Partial<ContactState>;
     want: ServingDecision;
   }[] = [
-    {name: 'serves in touch with the table', state: {}, want: 'serve'},
+    {name: 'serves if the table can be read', state: {}, want: 'serve'},
     {
-      name: 'serves on in an outage of the platform',
+      name: 'keeps serving in an outage of the platform',
       state: {tableAgeMs: 60_000, hostsHeard: 5},
       want: 'serve_in_outage',
     },
     {
-      name: 'refuses when it is cut off',
+      name: 'refuses if it is cut off from most hosts',
       state: {tableAgeMs: 60_000, hostsHeard: 4},
       want: 'refuse_cut_off',
     },
@@ -131,7 +136,7 @@
       want: 'refuse_no_configuration',
     },
     {
-      name: 'refuses with exactly half of the hosts',
+      name: 'refuses if it hears exactly half of the hosts',
       state: {tableAgeMs: 60_000, hostsHeard: 4, hostsKnown: 8},
       want: 'refuse_cut_off',
     },
@@ -142,14 +147,14 @@
     });
   }
 
-  it('never serves on one side what the other side changes', () => {
+  it('never serves on one side of a partition while the other changes', () => {
     fc.assert(
       fc.property(
         fc.integer({min: 1, max: 30}),
         fc.nat(30),
         fc.nat(30),
         (hostsKnown, a, b) => {
-          // Two sides of a partition; only side b reaches the table.
+          // Only the hosts of side B can reach the table.
           const sideA = Math.min(a, hostsKnown);
           const sideB = Math.min(b, hostsKnown - sideA);
           const cutOff = {...base, hostsKnown, tableAgeMs: 60_000};
--- a/packages/decisions/tests/event_stream.test.ts
+++ b/packages/decisions/tests/event_stream.test.ts
@@ -1,4 +1,4 @@
-/** Events cut from bytes, and how far a stream has come. */
+/** Splitting bytes into events, and tracking the progress of a stream. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
@@ -27,32 +27,32 @@
       .join('');
     return fc.record({
       text: fc.constantFrom(whole, `${whole}id: 7\ndata: pa`),
-      cuts: fc.array(fc.nat(Math.max(1, whole.length))),
+      splitPoints: fc.array(fc.nat(Math.max(1, whole.length))),
     });
   });
 
-describe('an event splitter', () => {
-  it('gives the same events wherever the bytes are cut', () => {
+describe('EventSplitter', () => {
+  it('returns the same events wherever the bytes are split', () => {
     fc.assert(
-      fc.property(texts, ({text, cuts}) => {
+      fc.property(texts, ({text, splitPoints}) => {
         const splitter = new EventSplitter();
-        const given: string[] = [];
-        const points = [0, ...cuts.sort((a, b) => a - b), text.length];
+        const actual: string[] = [];
+        const points = [0, ...splitPoints.sort((a, b) => a - b), text.length];
         for (const [index, from] of points.entries()) {
           const part = text.slice(from, points[index + 1] ?? text.length);
           for (const {bytes} of splitter.add(Buffer.from(part))) {
-            given.push(bytes.toString());
+            actual.push(bytes.toString());
           }
         }
-        assert.deepEqual(given, splitEventsNaively(text));
-        const rest = text.length - given.join('').length;
+        assert.deepEqual(actual, splitEventsNaively(text));
+        const rest = text.length - actual.join('').length;
         assert.equal(splitter.pendingBytes, rest);
       }),
       RUN_OPTIONS,
     );
   });
 
-  it('reads ids, also with other line ends', () => {
+  it('reads ids with LF and CRLF line endings', () => {
     const splitter = new EventSplitter();
     const events = splitter.add(
       Buffer.from('id: 4\r\ndata: x\r\n\r\ndata: none\n\nid:12\ndata: y\n\n'),
@@ -80,7 +80,7 @@
 );
 
 describe('the id of an event', () => {
-  it('is what the whole event says, wherever its line stands', () => {
+  it('is found wherever its line is', () => {
     fc.assert(
       fc.property(eventLines, (lines) => {
         const text = `${lines.join('\n')}\n\n`;
@@ -93,8 +93,8 @@
   });
 });
 
-describe('the progress of a stream', () => {
-  it('lets each event through once and in order', () => {
+describe('EventProgress', () => {
+  it('passes each event once and in order', () => {
     fc.assert(
       fc.property(fc.array(fc.integer({min: 1, max: 30})), (ids) => {
         const progress = new EventProgress(undefined);
@@ -103,14 +103,14 @@
           const {newEvents: fresh} = progress.accept([createEvent(id)]);
           if (fresh.length > 0) passed.push(id);
         }
-        const rising = [...new Set(passed)].sort((a, b) => a - b);
-        assert.deepEqual(passed, rising);
+        const sorted = [...new Set(passed)].sort((a, b) => a - b);
+        assert.deepEqual(passed, sorted);
       }),
       RUN_OPTIONS,
     );
   });
 
-  it('finds events that are missing after a loss', () => {
+  it('detects missing events after a failover', () => {
     const progress = new EventProgress(undefined);
     progress.accept([createEvent(1), createEvent(2), createEvent(3)]);
     progress.markFailover();
@@ -121,7 +121,7 @@
     assert.equal(progress.lastEventId, 4);
   });
 
-  it('starts after the event that the caller has', () => {
+  it('skips the events that the caller already has', () => {
     const progress = new EventProgress(9);
     assert.equal(progress.accept([createEvent(9)]).newEvents.length, 0);
     assert.equal(progress.accept([createEvent(10)]).newEvents.length, 1);
--- a/scripts/check_proofs.mjs
+++ b/scripts/check_proofs.mjs
@@ -167,7 +167,7 @@
   [
     'changes are passed on by revision',
     `${DECISIONS}/configuration_state.js`,
-    'change.revision !== this.current + 1',
+    'change.revision !== this.currentRevision + 1',
     'false',
     'decisions/configuration_state',
     'never goes back',
