--- a/packages/gateway/src/serving/call_driver.ts
+++ b/packages/gateway/src/serving/call_driver.ts
@@ -127,7 +127,7 @@
     endpoint: EndpointRecord,
     permit: SendPermit,
   ): Promise<PlainAnswerResult> {
-    const {exchange, requestId, terms, team, body} = this.request;
+    const {exchange, requestId, metadata, team, body} = this.request;
     this.lastEndpoint = endpoint;
     this.sends++;
     const claim: UseClaim = {running: 1, unreadTokens: 0, expectedTokens: 0};
@@ -143,7 +143,7 @@
           endpointId: endpoint.endpointId,
           team,
           remainingMs: computeRemainingMs(this.request, this.route, sentAt),
-          lastEventId: terms.lastEventId,
+          lastEventId: metadata.lastEventId,
           backupAddress: undefined,
           kvCacheSource: undefined,
         }),
--- a/packages/gateway/src/serving/caller_exchange.ts
+++ b/packages/gateway/src/serving/caller_exchange.ts
@@ -203,7 +203,7 @@
 export interface AdmittedRequest {
   readonly exchange: CallerExchange;
   readonly requestId: string;
-  readonly terms: RequestMetadata;
+  readonly metadata: RequestMetadata;
   readonly team: string | undefined;
   readonly body: Buffer;
   /** The hash of its content, the same for each retry of its caller. */
--- a/packages/gateway/src/serving/plain_answer_reader.ts
+++ b/packages/gateway/src/serving/plain_answer_reader.ts
@@ -26,13 +26,13 @@
   endpoint: EndpointRecord,
   answer: EndpointResponse,
 ): Promise<PlainAnswerResult> {
-  const {status, metadata: terms, lines, isFramed} = answer;
+  const {status, metadata, lines, isFramed} = answer;
   const body = await readAnswerBody(answer);
   if (status === MISDIRECTED_STATUS) {
-    endpoints.reportReplaced(endpoint, terms.endpointId);
+    endpoints.reportReplaced(endpoint, metadata.endpointId);
     return {kind: 'refused', detail: 'another instance answers there'};
   }
-  if (terms.isNotRun) return {kind: 'refused', detail: `status ${status}`};
+  if (metadata.isNotRun) return {kind: 'refused', detail: `status ${status}`};
   if (body === undefined) {
     answer.close();
     return {kind: 'lost', mayHaveRun: true, detail: 'its body was cut'};
--- a/packages/gateway/src/serving/request_handler.ts
+++ b/packages/gateway/src/serving/request_handler.ts
@@ -118,13 +118,13 @@
     route: ServingRoute,
   ): Promise<AdmittedRequest | undefined> {
     const {codec, configuration} = this.parts;
-    const terms = codec.decodeRequest(exchange.lines);
-    const teamLookup = configuration.findTeam(terms.key, route);
+    const metadata = codec.decodeRequest(exchange.lines);
+    const teamLookup = configuration.findTeam(metadata.key, route);
     if (teamLookup.kind === 'unknown') {
       this.refuseUnknown(exchange, 'unknown_key');
       return undefined;
     }
-    const {requestId, remainingMs} = terms;
+    const {requestId, remainingMs} = metadata;
     if (requestId === undefined) {
       this.refuse(exchange, GATEWAY_ERRORS.create('no_request_id'));
       return undefined;
@@ -142,7 +142,7 @@
     return {
       exchange,
       requestId,
-      terms,
+      metadata,
       team,
       body,
       content,
--- a/packages/gateway/src/serving/rollout_state.ts
+++ b/packages/gateway/src/serving/rollout_state.ts
@@ -92,8 +92,8 @@
   takeTrial(bounds: ExposureBounds, hosts: number): boolean {
     if (this.currentPhase !== 'trial') return false;
     const {counts} = this;
-    const room = computeTrialQuota(bounds, counts.requests, hosts);
-    if (counts.trialSends + 1 > room) return false;
+    const quota = computeTrialQuota(bounds, counts.requests, hosts);
+    if (counts.trialSends + 1 > quota) return false;
     counts.trialSends++;
     return true;
   }
--- a/packages/gateway/src/serving/stream_driver.ts
+++ b/packages/gateway/src/serving/stream_driver.ts
@@ -69,14 +69,14 @@
     private readonly route: ServingRoute,
     private readonly service: string,
   ) {
-    const {terms} = request;
+    const {metadata} = request;
     this.holds = new SendHolds(parts);
     this.suspect = new SuspectRunAdmission(parts, request);
     this.planner = new StreamPlanner(parts, request, service);
     const {signal} = request.exchange;
     this.search = new PlanSearch(parts, this.planner, service, signal);
     this.retries = new StreamRetries(parts, request, route, service);
-    this.progress = new EventProgress(terms.lastEventId);
+    this.progress = new EventProgress(metadata.lastEventId);
     const {startedAt} = request.exchange;
     this.report = new StreamReport(parts, request.requestId, startedAt);
     const {rollouts, clock} = parts;
@@ -179,8 +179,8 @@
     const attempt = this.createAttempt(plan, claim, replicator);
     const now = this.parts.clock.getNow();
     this.evidence.recordSend();
-    const keptTokens = this.planner.countCachedTokens(endpoint);
-    this.report.recordSend(plan, this.progress.lastEventId, keptTokens);
+    const cachedTokens = this.planner.countCachedTokens(endpoint);
+    this.report.recordSend(plan, this.progress.lastEventId, cachedTokens);
     let isReplicaNeeded = true;
     try {
       const lines = this.parts.codec.encodeRequest(exchange.lines, {
--- a/packages/gateway/src/serving/stream_planner.ts
+++ b/packages/gateway/src/serving/stream_planner.ts
@@ -38,16 +38,16 @@
   /** Engines whose load this host knows; undefined when it knows all. */
   private knownLoadEngines: readonly EndpointRecord[] | undefined;
   private trialEngines: readonly EndpointRecord[] | undefined;
-  private keptTokens: ReadonlyMap<string, number> = new Map();
-  private readonly terms: RequestMetadata;
+  private cachedTokens: ReadonlyMap<string, number> = new Map();
+  private readonly metadata: RequestMetadata;
   private readonly content: string;
 
   constructor(
     private readonly parts: ServingParts,
-    {terms, content}: AdmittedRequest,
+    {metadata, content}: AdmittedRequest,
     private readonly service: string,
   ) {
-    this.terms = terms;
+    this.metadata = metadata;
     this.content = content;
   }
 
@@ -58,7 +58,8 @@
 
   /** The expected size of the stream's KV cache, in tokens. */
   get expectedTokens(): number {
-    const {promptTokens, maxOutputTokens, estimatedOutputTokens} = this.terms;
+    const {promptTokens, maxOutputTokens, estimatedOutputTokens} =
+      this.metadata;
     const guess =
       estimatedOutputTokens ?? maxOutputTokens * EXPECTED_OUTPUT_FRACTION;
     return promptTokens + guess;
@@ -93,11 +94,11 @@
    * prompt cache. Does nothing for callers that did not reconnect.
    */
   async findCachedPrompt(): Promise<void> {
-    const {lastEventId, promptParts} = this.terms;
+    const {lastEventId, promptParts} = this.metadata;
     if (lastEventId === undefined) return;
     const usable = listLiveEndpoints(this.parts, this.service);
     const finder = this.parts.promptCaches;
-    this.keptTokens = await finder.findCachedTokens(usable, promptParts);
+    this.cachedTokens = await finder.findCachedTokens(usable, promptParts);
   }
 
   /**
@@ -183,7 +184,7 @@
     usable: readonly EndpointRecord[],
   ): EndpointRecord | undefined {
     const isFirst = this.excluded.size === 0 && this.held.size === 0;
-    if (!isFirst || this.terms.lastEventId !== undefined) return undefined;
+    if (!isFirst || this.metadata.lastEventId !== undefined) return undefined;
     return this.parts.gate.takeUnconfirmed(usable);
   }
 
@@ -208,14 +209,14 @@
 
   /** Counts the tokens of the prompt that an engine has in its cache. */
   countCachedTokens(endpoint: EndpointRecord): number {
-    return this.keptTokens.get(endpoint.instanceId) ?? 0;
+    return this.cachedTokens.get(endpoint.instanceId) ?? 0;
   }
 
   /** Counts the tokens of the prompt that an engine has to process. */
   countUnread(endpoint: EndpointRecord): number {
     return Math.max(
       0,
-      this.terms.promptTokens - this.countCachedTokens(endpoint),
+      this.metadata.promptTokens - this.countCachedTokens(endpoint),
     );
   }
 
@@ -223,11 +224,11 @@
   createEngineRequest(): EngineRequest {
     return {
       expectedTokens: this.expectedTokens,
-      promptTokens: this.terms.promptTokens,
+      promptTokens: this.metadata.promptTokens,
       excluded: this.held.size === 0 ? this.excluded : this.listExcluded(),
       avoidedDomains: this.avoidedDomains,
-      promptKey: this.terms.promptParts.at(-1)?.id ?? '',
-      keptTokens: this.keptTokens,
+      promptKey: this.metadata.promptParts.at(-1)?.id ?? '',
+      keptTokens: this.cachedTokens,
     };
   }
 
--- a/packages/gateway/src/serving/stream_report.ts
+++ b/packages/gateway/src/serving/stream_report.ts
@@ -23,7 +23,7 @@
   recordSend(
     plan: AttemptPlan,
     lastEventId: number | undefined,
-    keptTokens: number,
+    cachedTokens: number,
   ): void {
     const {endpoint, backup, kvCacheSource} = plan;
     this.parts.log.writeInfo('A stream is sent to an engine.', {
@@ -34,7 +34,7 @@
       unreadTokens: endpoint.unreadTokens,
       backup: backup?.instanceId,
       withMemory: kvCacheSource !== undefined,
-      keptTokens,
+      keptTokens: cachedTokens,
       lastEventId,
     });
   }
