--- a/packages/gateway/src/serving/attempt_admission.ts
+++ b/packages/gateway/src/serving/attempt_admission.ts
@@ -20,11 +20,11 @@
   isResumed: boolean,
   signal: AbortSignal,
 ): Promise<SendAdmission> {
-  const use = isResumed ? 'begun' : 'usual';
+  const priority = isResumed ? 'begun' : 'usual';
   const maxWaitMs = kvCacheSource === undefined ? 0 : MAX_REPLICA_WAIT_MS;
   const deadline = clock.getNow() + maxWaitMs;
   for (;;) {
-    const permit = await client.admit(endpoint, use);
+    const permit = await client.admit(endpoint, priority);
     if (permit.kind === 'permit' || signal.aborted) return permit;
     const waitMs = Math.max(1, permit.waitMs);
     if (clock.getNow() + waitMs > deadline) return permit;
--- a/packages/gateway/src/serving/call_driver.ts
+++ b/packages/gateway/src/serving/call_driver.ts
@@ -22,9 +22,9 @@
 import {SendHolds} from './send_holds.js';
 import {
   computeRemainingMs,
-  createBusy,
-  createNotRun,
-  createRefused,
+  createBusyError,
+  createNotRunError,
+  createRefusedError,
   FAILURE_WEIGHTS,
   MAX_BUSY_WAIT_MS,
   recordEndpointFailure,
@@ -276,7 +276,7 @@
     const {lastResult} = this;
     const isLost = lastResult === undefined || !('body' in lastResult);
     if (isLost && this.isRefused) {
-      const error = createRefused(content, this.mayHaveRun);
+      const error = createRefusedError(content, this.mayHaveRun);
       exchange.refuse(error, false);
       this.recordRefusal(error);
       return this.mayHaveRun ? 'lost' : 'refused';
@@ -300,7 +300,7 @@
 
   private createNotSentError(): KnownError {
     const {content} = this.request;
-    if (this.isContentBusy) return createBusy(content, this.parts.random);
+    if (this.isContentBusy) return createBusyError(content, this.parts.random);
     return this.holds.createError(this.service);
   }
 
@@ -308,7 +308,7 @@
     const {service, route, parts} = this;
     const error = this.mayHaveRun
       ? GATEWAY_ERRORS.create('timed_out', {ms: route.timeoutMs})
-      : createNotRun('not_run_in_time', service, parts.random);
+      : createNotRunError('not_run_in_time', service, parts.random);
     this.request.exchange.refuse(error, false);
     this.recordRefusal(error);
     return 'expired';
--- a/packages/gateway/src/serving/plain_answer_reader.ts
+++ b/packages/gateway/src/serving/plain_answer_reader.ts
@@ -1,4 +1,4 @@
-/** Reads answers that are not event streams, and decides whether they ran. */
+/** Reads answers that are not event streams, and whether their requests ran. */
 import {
   MISDIRECTED_STATUS,
   type EndpointResponse,
--- a/packages/gateway/src/serving/prompt_cache_finder.ts
+++ b/packages/gateway/src/serving/prompt_cache_finder.ts
@@ -26,8 +26,8 @@
 
 /**
  * How many engines are polled: first those of this host's failure domain, where
- * most of its callers' streams run, then others, both in the prompt's
- * preference order. This bounds the cost of one caller; with more engines, some
+ * most of its callers' streams run, then others, both in rendezvous-hash order
+ * of the prompt. This bounds the cost of one caller; with more engines, some
  * that have the prompt are not found.
  */
 const MAX_POLLED_ENGINES = 24;
--- a/packages/gateway/src/serving/request_handler.ts
+++ b/packages/gateway/src/serving/request_handler.ts
@@ -11,7 +11,7 @@
 import type {EndpointProber} from './endpoint_prober.js';
 import {hashContent} from './request_content.js';
 import {decideRetryAfter} from './retry_after.js';
-import {createNotRun, createRefused} from './send_rules.js';
+import {createNotRunError, createRefusedError} from './send_rules.js';
 import {getRandomFraction, type ServingParts} from './serving_parts.js';
 import {StreamDriver} from './stream_driver.js';
 
@@ -52,7 +52,7 @@
     const service = this.chooseService(route);
     if (service === undefined) {
       const {random} = this.parts;
-      const error = createNotRun('no_endpoint', route.name, random);
+      const error = createNotRunError('no_endpoint', route.name, random);
       this.refuse(exchange, error);
       return;
     }
@@ -60,7 +60,7 @@
     // on other hosts. The limits on one request's attempts don't count those.
     const {content} = request;
     if (this.parts.crashes.isRefused(content)) {
-      this.refuse(exchange, createRefused(content, false));
+      this.refuse(exchange, createRefusedError(content, false));
       return;
     }
     await this.drive(request, route, service);
--- a/packages/gateway/src/serving/send_gate.ts
+++ b/packages/gateway/src/serving/send_gate.ts
@@ -90,7 +90,7 @@
   /** Requests a permit; asynchronous only if the endpoint has a limit. */
   admit(
     target: SendTarget,
-    use: SendPriority,
+    priority: SendPriority,
   ): Promise<SendAdmission> | SendAdmission;
 
   /**
--- a/packages/gateway/src/serving/send_holds.ts
+++ b/packages/gateway/src/serving/send_holds.ts
@@ -5,7 +5,7 @@
 import type {GatewayEndpoints} from '../services/gateway_endpoints.js';
 import {formatRetryAfter} from './retry_after.js';
 import {isLimitHold, type SendGate, type SendHold} from './send_gate.js';
-import {createNotRun} from './send_rules.js';
+import {createNotRunError} from './send_rules.js';
 import {getRandomFraction} from './serving_parts.js';
 
 /** Dependencies of the holds. */
@@ -35,7 +35,9 @@
       return GATEWAY_ERRORS.create('limits_used_up', {service}, seconds);
     }
     const end = endpoints.findFirstPauseEnd(service);
-    if (end === undefined) return createNotRun('no_endpoint', service, random);
+    if (end === undefined) {
+      return createNotRunError('no_endpoint', service, random);
+    }
     const fraction = getRandomFraction(random);
     const returnMs = computeRetryDelayMs(end, clock.getNow(), fraction);
     const seconds = formatRetryAfter(returnMs, random);
--- a/packages/gateway/src/serving/send_rules.ts
+++ b/packages/gateway/src/serving/send_rules.ts
@@ -44,19 +44,22 @@
 }
 
 /** Creates the error for a request whose content crashes endpoints. */
-export function createRefused(content: string, hasRun: boolean): KnownError {
+export function createRefusedError(
+  content: string,
+  hasRun: boolean,
+): KnownError {
   const kind = hasRun ? 'endpoints_ended' : 'content_refused';
   return GATEWAY_ERRORS.create(kind, {content});
 }
 
 /** Creates the error for a request whose suspected content runs elsewhere. */
-export function createBusy(content: string, random: Random): KnownError {
+export function createBusyError(content: string, random: Random): KnownError {
   const retryAfter = decideRetryAfter(random);
   return GATEWAY_ERRORS.create('content_busy', {content}, retryAfter);
 }
 
 /** Creates the error for a request that no endpoint ran. */
-export function createNotRun(
+export function createNotRunError(
   kind: 'no_endpoint' | 'not_run_in_time',
   service: string,
   random: Random,
--- a/packages/gateway/src/serving/stream_driver.ts
+++ b/packages/gateway/src/serving/stream_driver.ts
@@ -19,9 +19,9 @@
 import {SendHolds} from './send_holds.js';
 import {
   computeRemainingMs,
-  createBusy,
-  createNotRun,
-  createRefused,
+  createBusyError,
+  createNotRunError,
+  createRefusedError,
   MAX_BUSY_WAIT_MS,
   recordEndpointFailure,
 } from './send_rules.js';
@@ -322,7 +322,7 @@
     this.finishWith(
       this.retries.mayHaveRun
         ? GATEWAY_ERRORS.create('timed_out', {ms: this.route.timeoutMs})
-        : createNotRun('not_run_in_time', this.service, this.parts.random),
+        : createNotRunError('not_run_in_time', this.service, this.parts.random),
     );
     return 'expired';
   }
@@ -340,11 +340,11 @@
 
   private createLossError(): KnownError {
     const {mayHaveRun, isRefused} = this.retries;
-    if (isRefused) return createRefused(this.request.content, mayHaveRun);
+    if (isRefused) return createRefusedError(this.request.content, mayHaveRun);
     const detail = this.lossDetail;
     if (mayHaveRun) return GATEWAY_ERRORS.create('stream_lost', {detail});
     if (this.retryDenial === 'content_busy') {
-      return createBusy(this.request.content, this.parts.random);
+      return createBusyError(this.request.content, this.parts.random);
     }
     return this.holds.createError(this.service);
   }
--- a/packages/gateway/src/serving/stream_retries.ts
+++ b/packages/gateway/src/serving/stream_retries.ts
@@ -11,7 +11,7 @@
 import {hasPossiblyRun, type AttemptResult} from './stream_attempt.js';
 
 /** How many attempts that certainly did not run may be retried. */
-const MAX_NOT_RUN = 6;
+const MAX_NOT_RUN_ATTEMPTS = 6;
 /** An attempt with less time left than this would not be answered, in ms. */
 const MIN_ATTEMPT_MS = 200;
 
@@ -69,7 +69,7 @@
       return 'answered';
     }
     if (this.runs >= route.maxAttempts) return 'attempts_spent';
-    if (this.notRun > MAX_NOT_RUN) return 'never_run';
+    if (this.notRun > MAX_NOT_RUN_ATTEMPTS) return 'never_run';
     if (request.exchange.signal.aborted) return 'caller_left';
     const now = parts.clock.getNow();
     if (computeRemainingMs(request, route, now) < MIN_ATTEMPT_MS) {
--- a/packages/gateway/src/serving/successors.ts
+++ b/packages/gateway/src/serving/successors.ts
@@ -36,13 +36,13 @@
    *
    * @param endpointId The id of the new instance.
    */
-  async accept(old: EndpointRecord, endpointId: string): Promise<void> {
-    const {endpoints, engineClient: engines, codec, log} = this.parts;
+  async accept(previous: EndpointRecord, endpointId: string): Promise<void> {
+    const {endpoints, engineClient, codec, log} = this.parts;
     if (!endpoints.isStoreAway || endpoints.hasEndpoint(endpointId)) return;
-    const {address, entry} = old;
+    const {address, entry} = previous;
     if (!this.isOnlyEngineService(entry.service)) return;
-    const answer = await engines.send(
-      old,
+    const answer = await engineClient.send(
+      previous,
       codec.encodeReport(),
       REPORT_TIMEOUT_MS,
     );
@@ -52,13 +52,13 @@
         : codec.decodeReport(answer.status, answer.body);
     log.writeInfo('An engine restarted while the store is unavailable.', {
       endpoint: endpointId,
-      before: old.instanceId,
+      before: previous.instanceId,
       address,
       status: answer?.status ?? 0,
       isUsed: report !== undefined,
     });
     if (report === undefined) return;
-    endpoints.addSuccessor(old, endpointId, report.startMs);
+    endpoints.addSuccessor(previous, endpointId, report.startMs);
   }
 
   private isOnlyEngineService(service: string): boolean {
