--- a/packages/decisions/src/address_answer.ts
+++ b/packages/decisions/src/address_answer.ts
@@ -63,7 +63,12 @@
   return [...local.slice(0, localCount), ...remote.slice(0, remoteCount)];
 }
 
-/** Creates an answer from the hosts that serve. */
+/**
+ * Creates an answer from the hosts that serve.
+ *
+ * @param keepSeconds The mean time for which the answer may be used; the actual
+ *     time is random, from 75% to 125% of it.
+ */
 export function chooseAddresses(
   serving: readonly MemberNote[],
   callerDomain: string | undefined,
--- a/packages/decisions/src/failure_detector.ts
+++ b/packages/decisions/src/failure_detector.ts
@@ -40,7 +40,7 @@
   readonly sender: HostRecord;
   /** Where to reach the sender; undefined if the receiver knows it. */
   readonly place: P | undefined;
-  /** The host for which the sender probes the receiver, if not for itself. */
+  /** The host that requested the probe, if a relay probes on its behalf. */
   readonly asker: string | undefined;
   /** In a relay, the host to probe; in a forwarded answer, who answered. */
   readonly target: string | undefined;
@@ -56,9 +56,9 @@
 }
 
 /** Up to this many other hosts, several are probed in a beat. */
-const FEW_HOSTS = 16;
+const MAX_FEW_HOSTS = 16;
 /** Hosts probed in a beat, for few and for many hosts. */
-const PROBES = {few: 3, many: 1} as const;
+const PROBES_PER_BEAT = {few: 3, many: 1} as const;
 /**
  * Hosts probed in a beat after one in which a host did not answer, as many may
  * have failed at once. If half of 195 hosts fail, the others have detected all
@@ -66,8 +66,8 @@
  * more than 9 s (simulated with three seeds).
  */
 const PROBES_AFTER_SILENCE = 6;
-/** Hosts that are asked to probe a host that did not answer. */
-const RELAYS = 3;
+/** Hosts that are asked to probe one that did not answer. */
+const RELAYS_PER_PROBE = 3;
 /** Hosts to which new updates are sent at once. */
 const NOTICE_TARGETS = 3;
 /**
@@ -81,12 +81,12 @@
  * If no message arrived for this many beats, this host may itself be cut off,
  * and missing answers of others are no evidence.
  */
-const TRUST_BEATS = 4;
+const MAX_SILENT_BEATS = 4;
 /**
- * If a beat starts more than this many periods after the one before, this
+ * If a beat starts this many periods or more after the one before, this
  * process was stalled, and missing answers of others are no evidence.
  */
-const LATE_BEATS = 2;
+const LATE_BEAT_FACTOR = 2;
 
 /** Detects failed hosts and spreads updates about hosts. */
 export class FailureDetector<P> {
@@ -98,7 +98,7 @@
   /** When the last message arrived, in ms. */
   private receivedAt = -Infinity;
   /** Whether a host did not answer in the last beat. */
-  private wasSilent = false;
+  private hadSilentHost = false;
   /** Whether new updates have not been sent in notices yet. */
   private isNoticePending = false;
   /** Hosts suspected by this one since the last `takeNewlySuspected`. */
@@ -127,7 +127,7 @@
 
   /** Whether a message of any other host arrived recently. */
   hasHeardAny(now: number): boolean {
-    return now - this.receivedAt <= TRUST_BEATS * this.beatMs;
+    return now - this.receivedAt <= MAX_SILENT_BEATS * this.beatMs;
   }
 
   /** Sets the state that this host publishes of itself. */
@@ -156,7 +156,7 @@
 
   /** Runs one beat; returns the messages to send. */
   startBeat(now: number): OutgoingGossip<P>[] {
-    const isPunctual = now - this.beatAt < LATE_BEATS * this.beatMs;
+    const isPunctual = now - this.beatAt < LATE_BEAT_FACTOR * this.beatMs;
     this.beatAt = now;
     const isTrusted = isPunctual && this.hasHeardAny(now);
     const alive = this.view.listAlive();
@@ -167,7 +167,7 @@
     for (const name of plan.unresponsive) this.markSuspected(name, now);
     for (const name of plan.indirect) outgoing.push(...this.createRelays(name));
     for (const name of plan.probed) outgoing.push(...this.createProbe(name));
-    this.wasSilent = plan.indirect.length + plan.unresponsive.length > 0;
+    this.hadSilentHost = plan.indirect.length + plan.unresponsive.length > 0;
     outgoing.push(...this.createRetry());
     return outgoing;
   }
@@ -217,8 +217,10 @@
   }
 
   private countProbes(otherHosts: number): number {
-    if (this.wasSilent) return PROBES_AFTER_SILENCE;
-    return otherHosts <= FEW_HOSTS ? PROBES.few : PROBES.many;
+    if (this.hadSilentHost) return PROBES_AFTER_SILENCE;
+    return otherHosts <= MAX_FEW_HOSTS
+      ? PROBES_PER_BEAT.few
+      : PROBES_PER_BEAT.many;
   }
 
   /**
@@ -264,7 +266,7 @@
       .listAlive()
       .filter(({record}) => record.name !== target);
     return getShuffled(others, this.random)
-      .slice(0, RELAYS)
+      .slice(0, RELAYS_PER_PROBE)
       .map((to) => this.createMessage(to, 'relay', {target}));
   }
 
--- a/packages/decisions/src/generation_number.ts
+++ b/packages/decisions/src/generation_number.ts
@@ -9,14 +9,14 @@
 /**
  * Creates a generation number.
  *
- * @param takeover How often the request was taken over by another host.
+ * @param takeovers How often another host has taken the request over.
  * @param attempt The number of the attempt of this host, from 1.
  */
 export function createGenerationNumber(
-  takeover: number,
+  takeovers: number,
   attempt: number,
 ): number {
-  return takeover * ATTEMPTS_PER_TAKEOVER + attempt;
+  return takeovers * ATTEMPTS_PER_TAKEOVER + attempt;
 }
 
 /** Returns how often the request had been taken over. */
--- a/packages/decisions/src/home_groups.ts
+++ b/packages/decisions/src/home_groups.ts
@@ -1,8 +1,8 @@
 /**
  * Assigns each engine to a home group: the group of hosts (`host_group.ts`)
- * that places most streams on it. The hosts of a group tell each other what
- * they run, so each knows the load of the group's engines, and the state that a
- * host keeps does not grow with the number of hosts.
+ * that places most streams on it. The hosts of a group report to each other
+ * what they run, so each knows the load of the group's engines, and the state
+ * that a host keeps does not grow with the number of hosts.
  *
  * The engines of a failure domain are divided among the groups of its hosts, or
  * among all groups if it has no hosts. All hosts compute the same assignment
@@ -62,26 +62,26 @@
   }));
   sorted.sort((a, b) => a.hash - b.hash);
   for (const {instanceId} of sorted) {
-    const home = findFirstWithRoom(groups, roomByGroup, instanceId);
+    const home = findGroupWithRoom(groups, roomByGroup, instanceId);
     if (home === undefined) continue;
     roomByGroup.set(home.key, (roomByGroup.get(home.key) ?? 0) - 1);
     homes.set(instanceId, home);
   }
 }
 
-function findFirstWithRoom(
+function findGroupWithRoom(
   groups: readonly HostGroup[],
   roomByGroup: ReadonlyMap<string, number>,
   instanceId: string,
 ): HostGroup | undefined {
-  let first: HostGroup | undefined;
+  let best: HostGroup | undefined;
   let lowestHash = Infinity;
   for (const group of groups) {
     if ((roomByGroup.get(group.key) ?? 0) <= 0) continue;
     const hash = hashText(`${group.key}/${instanceId}`);
     if (hash >= lowestHash) continue;
-    first = group;
+    best = group;
     lowestHash = hash;
   }
-  return first;
+  return best;
 }
--- a/packages/decisions/src/host_group.ts
+++ b/packages/decisions/src/host_group.ts
@@ -1,9 +1,9 @@
 /**
- * Divides hosts into groups. The hosts of a group tell each other at once which
- * requests they run. Few hosts form a single group. Of many hosts, those of a
- * failure domain form groups of bounded size, so that what a host sends,
- * receives and keeps does not grow with the number of hosts. All hosts compute
- * the same groups from the host names alone.
+ * Divides hosts into groups. The hosts of a group report to each other at once
+ * which requests they run. A small deployment forms a single group. In a larger
+ * one, the hosts of each failure domain form groups of bounded size, so that
+ * what a host sends, receives and keeps does not grow with the number of hosts.
+ * All hosts compute the same groups from the host names alone.
  */
 import {hashText} from './hash.js';
 
@@ -13,7 +13,7 @@
   readonly failureDomain: string;
 }
 
-/** Hosts that share their load. */
+/** Hosts that report to each other which requests they run. */
 export interface HostGroup {
   /** Equal on all hosts that know the same hosts. */
   readonly key: string;
--- a/packages/decisions/src/store_reachability.ts
+++ b/packages/decisions/src/store_reachability.ts
@@ -11,35 +11,35 @@
 
 /** Tracks the outages of the store. */
 export class StoreReachability {
-  private awaySince: number | undefined;
-  private returnedAt = -Infinity;
+  private unreachableSince: number | undefined;
+  private recoveredAt = -Infinity;
 
   /** Whether the last call to the store failed. */
   get isAway(): boolean {
-    return this.awaySince !== undefined;
+    return this.unreachableSince !== undefined;
   }
 
   /** Records a call that the store answered. */
   recordSuccess(now: number): void {
-    if (this.awaySince === undefined) return;
-    this.awaySince = undefined;
-    this.returnedAt = now;
+    if (this.unreachableSince === undefined) return;
+    this.unreachableSince = undefined;
+    this.recoveredAt = now;
   }
 
   /** Records that the store was restored from a backup. */
   recordRestored(now: number): void {
-    this.awaySince = undefined;
-    this.returnedAt = now;
+    this.unreachableSince = undefined;
+    this.recoveredAt = now;
   }
 
   /** Records a call that failed. */
   recordFailure(now: number): void {
-    this.awaySince ??= now;
+    this.unreachableSince ??= now;
   }
 
   /** Returns for how long a vanished entry stays in use from now on, in ms. */
   getDepartureDelayMs(now: number): number {
-    if (this.awaySince !== undefined) return Infinity;
-    return Math.max(0, this.returnedAt + RECOVERY_GRACE_MS - now);
+    if (this.unreachableSince !== undefined) return Infinity;
+    return Math.max(0, this.recoveredAt + RECOVERY_GRACE_MS - now);
   }
 }
--- a/packages/decisions/tests/event_stream.test.ts
+++ b/packages/decisions/tests/event_stream.test.ts
@@ -100,8 +100,8 @@
         const progress = new EventProgress(undefined);
         const passed: number[] = [];
         for (const id of ids) {
-          const {newEvents: fresh} = progress.accept([createEvent(id)]);
-          if (fresh.length > 0) passed.push(id);
+          const {newEvents} = progress.accept([createEvent(id)]);
+          if (newEvents.length > 0) passed.push(id);
         }
         const sorted = [...new Set(passed)].sort((a, b) => a - b);
         assert.deepEqual(passed, sorted);
--- a/packages/decisions/tests/failure_detector.test.ts
+++ b/packages/decisions/tests/failure_detector.test.ts
@@ -33,17 +33,20 @@
  * Measures the share of pairs of running hosts of which one does not believe
  * the other to be alive.
  */
-function measureDoubtedShare(simulation: GossipSimulation, ms: number): number {
-  let doubted = 0;
+function measureFalseSuspicionRate(
+  simulation: GossipSimulation,
+  ms: number,
+): number {
+  let suspected = 0;
   let pairs = 0;
   const endAt = simulation.now + ms;
   while (simulation.now < endAt) {
     simulation.run(BEAT_MS);
-    const counts = simulation.countDoubtedPairs();
-    doubted += counts.doubted;
+    const counts = simulation.countFalseSuspicions();
+    suspected += counts.suspected;
     pairs += counts.pairs;
   }
-  return doubted / pairs;
+  return suspected / pairs;
 }
 
 /** Measures how long each running host takes to detect a stopped one, in ms. */
@@ -70,7 +73,7 @@
       const simulation = createSimulation(hosts, domains);
       for (const host of simulation.hosts) host.sentDatagrams = 0;
       const ms = 9000;
-      assert.ok(measureDoubtedShare(simulation, ms) <= 1e-4);
+      assert.ok(measureFalseSuspicionRate(simulation, ms) <= 1e-4);
       let sent = 0;
       for (const host of simulation.hosts) sent += host.sentDatagrams;
       const perSecond = sent / hosts / (ms / 1000);
@@ -96,12 +99,12 @@
     for (const host of killed) host.isRunning = false;
     simulation.run(3000);
     for (const host of simulation.hosts.slice(97)) {
-      const doubted = killed.filter(
+      const suspected = killed.filter(
         (other) => !simulation.isBelievedAlive(host, other),
       );
-      assert.equal(doubted.length, killed.length);
+      assert.equal(suspected.length, killed.length);
     }
-    assert.equal(simulation.countDoubtedPairs().doubted, 0);
+    assert.equal(simulation.countFalseSuspicions().suspected, 0);
   });
 
   it('believes a host alive soon after it was frozen for 4 s', () => {
@@ -111,7 +114,7 @@
     simulation.run(4000);
     frozen.isRunning = true;
     simulation.run(1500);
-    assert.equal(simulation.countDoubtedPairs().doubted, 0);
+    assert.equal(simulation.countFalseSuspicions().suspected, 0);
   });
 
   it('believes a restarted host alive, even if its clock was set back', () => {
@@ -121,7 +124,7 @@
     simulation.run(500);
     simulation.startNewIncarnation(host, getHost(simulation, 20), -1);
     simulation.run(2000);
-    assert.equal(simulation.countDoubtedPairs().doubted, 0);
+    assert.equal(simulation.countFalseSuspicions().suspected, 0);
     for (const other of simulation.hosts) {
       if (other === host) continue;
       const known = other.detector.view.find(host.name)?.record;
@@ -133,14 +136,14 @@
     const simulation = createSimulation(195, 6);
     simulation.isDropped = (a, b) => a.domain < 3 !== b.domain < 3;
     simulation.run(8000);
-    const {doubted, pairs} = simulation.countDoubtedPairs();
-    assert.ok(doubted / pairs > 0.4);
+    const {suspected, pairs} = simulation.countFalseSuspicions();
+    assert.ok(suspected / pairs > 0.4);
     simulation.isDropped = () => false;
     simulation.run(4000);
-    const after = simulation.countDoubtedPairs();
-    assert.ok(after.doubted / after.pairs <= 1e-4);
+    const after = simulation.countFalseSuspicions();
+    assert.ok(after.suspected / after.pairs <= 1e-4);
     simulation.run(2000);
-    assert.equal(simulation.countDoubtedPairs().doubted, 0);
+    assert.equal(simulation.countFalseSuspicions().suspected, 0);
   });
 
   it('suspects few others on a host that is cut off itself', () => {
@@ -148,15 +151,15 @@
     const isolated = getHost(simulation, 9);
     simulation.isDropped = (a, b) => a === isolated || b === isolated;
     simulation.run(6000);
-    const doubted = simulation.hosts.filter(
+    const suspected = simulation.hosts.filter(
       (other) =>
         other !== isolated && !simulation.isBelievedAlive(isolated, other),
     );
     // It receives nothing, and stops suspecting others after a few beats.
-    assert.ok(doubted.length <= 15, `${doubted.length}`);
+    assert.ok(suspected.length <= 15, `${suspected.length}`);
     simulation.isDropped = () => false;
     simulation.run(2500);
-    assert.equal(simulation.countDoubtedPairs().doubted, 0);
+    assert.equal(simulation.countFalseSuspicions().suspected, 0);
   });
 
   it('tracks a failure domain whose hosts are restarted in turn', () => {
@@ -171,7 +174,7 @@
       simulation.startNewIncarnation(host, seed);
     }
     simulation.run(2000);
-    assert.equal(simulation.countDoubtedPairs().doubted, 0);
+    assert.equal(simulation.countFalseSuspicions().suspected, 0);
   });
 
   it('converges to the same records on all hosts', () => {
