--- a/packages/decisions/src/engine_placement.ts
+++ b/packages/decisions/src/engine_placement.ts
@@ -15,15 +15,13 @@
  *
  * Among engines of equal cost, the first by the rendezvous hash of the prompt
  * is chosen, so that all hosts agree (`rendezvous_hash.ts`). Engines that failed
- * recently are used only if the others have no room. The copy is kept in another
- * failure domain, as a whole domain may be lost at once.
+ * recently are used only if the others have no room. The standby copy is kept in
+ * another failure domain, as all engines of a domain may be lost at once.
  */
 
 import {sortByRendezvousHash} from './rendezvous_hash.js';
 
-/**
- * An engine as one host sees it, including the load that other hosts reported.
- */
+/** An engine as one host sees it, with the load that other hosts reported. */
 export interface EngineView {
   readonly instanceId: string;
   readonly failureDomain: string;
@@ -103,8 +101,8 @@
 ): number {
   const promptTokens = request.promptTokens || UNKNOWN_PROMPT_TOKENS;
   const keptTokens = request.keptTokens.get(engine.instanceId) ?? 0;
-  const readTokens = Math.max(0, promptTokens - keptTokens);
-  let cost = engine.unreadTokens + (1 + engine.streams) * readTokens;
+  const prefillTokens = Math.max(0, promptTokens - keptTokens);
+  let cost = engine.unreadTokens + (1 + engine.streams) * prefillTokens;
   cost += engine.failureScore * FAILURE_COST_PROMPTS * promptTokens;
   if (request.avoidedDomains.has(engine.failureDomain)) {
     cost += DOMAIN_COST_PROMPTS * promptTokens;
--- a/packages/decisions/tests/answer_assembler.test.ts
+++ b/packages/decisions/tests/answer_assembler.test.ts
@@ -42,14 +42,14 @@
 ): {text: string; ended: boolean; lost: boolean} {
   const texts: string[] = [];
   for (const item of items) {
-    const verdict =
+    const decision =
       'token' in item
         ? assembler.acceptToken(item.token)
         : assembler.acceptEnd(item.end);
-    if (verdict.action === 'pass') texts.push(verdict.text);
-    if (verdict.action === 'drop') continue;
-    if (verdict.action === 'pass') continue;
-    const ended = verdict.action === 'end';
+    if (decision.action === 'pass') texts.push(decision.text);
+    if (decision.action === 'drop') continue;
+    if (decision.action === 'pass') continue;
+    const ended = decision.action === 'end';
     return {text: texts.join(' '), ended, lost: !ended};
   }
   return {text: texts.join(' '), ended: false, lost: false};
@@ -132,8 +132,8 @@
   it('drops tokens after the end', () => {
     const assembler = new AnswerAssembler(REQUEST, 1, 0);
     assembler.acceptEnd(createEnd({count: 0}));
-    const verdict = assembler.acceptToken(createToken(0));
-    assert.deepEqual(verdict, {action: 'drop', reason: 'after_end'});
+    const decision = assembler.acceptToken(createToken(0));
+    assert.deepEqual(decision, {action: 'drop', reason: 'after_end'});
   });
 
   it('passes on a prefix of the answer, whatever the faults', () => {
