--- a/packages/gateway/src/serving/caller_exchange.ts
+++ b/packages/gateway/src/serving/caller_exchange.ts
@@ -28,7 +28,7 @@
   /** Aborted when the caller disconnects or the time limit expires. */
   readonly signal: AbortSignal;
   private readonly controller = new AbortController();
-  private expired = false;
+  private hasExpired = false;
   private timer: NodeJS.Timeout | undefined;
   private hasFinalAnswer = false;
 
@@ -69,7 +69,7 @@
 
   /** Whether the time limit of the request has expired. */
   get isExpired(): boolean {
-    return this.expired;
+    return this.hasExpired;
   }
 
   /** Whether the headers of an answer were sent. */
@@ -81,7 +81,7 @@
   setTimeLimit(ms: number): void {
     this.timer = setTimeout(
       () => {
-        this.expired = true;
+        this.hasExpired = true;
         this.controller.abort();
       },
       Math.max(0, ms),
--- a/packages/gateway/src/serving/endpoint_record.ts
+++ b/packages/gateway/src/serving/endpoint_record.ts
@@ -146,6 +146,7 @@
     return this.getUse().running;
   }
 
+  /** Calls in flight: the known claims, or the reported load if it is higher. */
   get calls(): number {
     const counted = this.getUse().running;
     if (this.getNow() - this.loadReportedAt > REPORTED_LOAD_TTL_MS) {
@@ -166,6 +167,7 @@
     return this.getUse().expectedTokens;
   }
 
+  /** The weighted number of recent failures, which decays over time. */
   get failureScore(): number {
     const age = this.getNow() - this.failedAt;
     const score = this.failures * 0.5 ** (age / FAILURE_HALF_LIFE_MS);
--- a/packages/gateway/src/serving/rollout_counts.ts
+++ b/packages/gateway/src/serving/rollout_counts.ts
@@ -26,7 +26,7 @@
 const SLOW_FACTOR = 3;
 /**
  * An answer within this delay over the baseline is not slow, in ms. A busy host
- * delays answers of any version by as much, and callers don't notice it.
+ * delays answers of any version by as much, which harms no caller.
  */
 const MIN_SLOW_DELAY_MS = 50;
 /** How many answers of the old version establish the baseline. */
--- a/packages/gateway/src/serving/rollouts.ts
+++ b/packages/gateway/src/serving/rollouts.ts
@@ -138,8 +138,8 @@
     const side = state.getSide(record);
     if (side === 'other') return;
     const {instanceId} = record;
-    const seen = {...answer, instanceId, isNew: side === 'new'};
-    if (state.addAnswer(seen)) this.handlePhaseChange(state);
+    const observed = {...answer, instanceId, isNew: side === 'new'};
+    if (state.addAnswer(observed)) this.handlePhaseChange(state);
   }
 
   /** Whether a KV cache may be replicated from one endpoint to the other. */
--- a/packages/gateway/src/serving/send_rules.ts
+++ b/packages/gateway/src/serving/send_rules.ts
@@ -39,8 +39,8 @@
   route: ServingRoute,
   now: number,
 ): number {
-  const routeUntil = request.exchange.startedAt + route.timeoutMs;
-  return Math.floor(Math.min(request.callerDeadline, routeUntil) - now);
+  const routeDeadline = request.exchange.startedAt + route.timeoutMs;
+  return Math.floor(Math.min(request.callerDeadline, routeDeadline) - now);
 }
 
 /** Creates the error for a request whose content crashes endpoints. */
