--- a/packages/gateway/src/serving/endpoint_record.ts
+++ b/packages/gateway/src/serving/endpoint_record.ts
@@ -146,7 +146,7 @@
     return this.getUse().running;
   }
 
-  /** Calls in flight: the known claims, or the reported load if it is higher. */
+  /** Calls in flight by known claims, or by a higher reported load. */
   get calls(): number {
     const counted = this.getUse().running;
     if (this.getNow() - this.loadReportedAt > REPORTED_LOAD_TTL_MS) {
