--- a/packages/gateway/src/services/endpoint_gate.ts
+++ b/packages/gateway/src/services/endpoint_gate.ts
@@ -1,6 +1,7 @@
 /**
- * The gate before every connection to an endpoint: checks what the endpoint
- * announced (leaving, a pause), then its limit over all hosts.
+ * Admits every connection to an endpoint: checks first whether the endpoint
+ * announced that it is leaving or requested a pause, then its rate limit over
+ * all hosts.
  */
 import type {SendUse} from '@irisdock/decisions';
 import type {Clock} from '@irisdock/kernel';
@@ -15,7 +16,7 @@
 } from '../serving/send_gate.js';
 import type {GatewayEndpoints} from './gateway_endpoints.js';
 
-/** What the gate works with. */
+/** Dependencies of the gate. */
 export interface EndpointGateParts {
   readonly limits: SendGate;
   readonly endpoints: Pick<GatewayEndpoints, 'find' | 'markLeaving' | 'pauses'>;
@@ -23,7 +24,7 @@
   readonly metrics: Registry;
 }
 
-/** The gate. */
+/** Checks announcements of endpoints before their limits. */
 export class EndpointGate implements SendGate {
   private readonly announcements: Counter;
 
@@ -31,13 +32,13 @@
     const {endpoints, metrics} = parts;
     this.announcements = new Counter({
       name: 'irisdock_gateway_announcements_total',
-      help: 'Answers by which endpoints announced something, a count, by kind.',
+      help: 'Responses with an announcement of the endpoint, a count, by kind.',
       labelNames: ['kind'],
       registers: [metrics],
     });
     new Gauge({
       name: 'irisdock_gateway_paused_endpoints',
-      help: 'Endpoints that asked this host for a pause in force, a count.',
+      help: 'Endpoints that requested a pause, now in force, from this host, a count.',
       registers: [metrics],
       collect() {
         this.set(endpoints.pauses.countPaused());
@@ -54,7 +55,7 @@
     if (hold !== undefined) return hold;
     const admission = limits.admit(target, use);
     if (!(admission instanceof Promise)) return admission;
-    // The endpoint may have announced something while the send waited.
+    // The endpoint may have made an announcement while the send waited.
     return admission.then((later) => this.findHold(target, use) ?? later);
   }
 
@@ -88,7 +89,7 @@
       const waitMs = Math.max(0, end - clock.getNow());
       return {kind: 'held', target, reason: 'paused', waitMs};
     }
-    // Calls about what runs there still reach an endpoint that is leaving.
+    // Calls about requests that run there still reach a leaving endpoint.
     if (use === 'aside') return undefined;
     if (endpoints.find(instanceId)?.entry.state !== 'leaving') return undefined;
     return {kind: 'held', target, reason: 'leaving', waitMs: Infinity};
--- a/packages/gateway/src/services/endpoint_pauses.ts
+++ b/packages/gateway/src/services/endpoint_pauses.ts
@@ -1,17 +1,17 @@
 /**
  * The pauses that endpoints requested from this host, by instance id. A pause
- * binds only the host that received the rejection.
+ * applies only to the host that received the rejection.
  */
 import {computePauseEnd, type PauseRequest} from '@irisdock/decisions';
 import type {Clock, Logger} from '@irisdock/kernel';
 import type {SendTarget} from '../serving/send_gate.js';
 
-/** Expired pauses are dropped from this many entries on. */
-const SWEEP_FROM = 1000;
+/** The number of entries from which expired pauses are removed. */
+const SWEEP_MIN_ENTRIES = 1000;
 
-/** The pauses. */
+/** Keeps when each requested pause ends. */
 export class EndpointPauses {
-  private readonly ends = new Map<string, number>();
+  private readonly endsAt = new Map<string, number>();
 
   constructor(
     private readonly clock: Clock,
@@ -20,26 +20,26 @@
 
   /** Counts the pauses in force. */
   countPaused(): number {
-    this.dropOver();
-    return this.ends.size;
+    this.dropExpired();
+    return this.endsAt.size;
   }
 
-  /** Gives the end of a pause in force, in ms by this host's clock. */
+  /** Returns the end of a pause in force, in ms by this host's clock. */
   findEnd(instanceId: string): number | undefined {
-    const end = this.ends.get(instanceId);
+    const end = this.endsAt.get(instanceId);
     return end === undefined || end <= this.clock.getNow() ? undefined : end;
   }
 
-  /** Applies the pause that an answer requested. */
+  /** Applies the pause that a response requested. */
   record({instanceId, address}: SendTarget, request: PauseRequest): void {
     const now = this.clock.getNow();
     const known = this.findEnd(instanceId);
     const end = computePauseEnd(request, now, known);
     if (end <= now) return;
-    this.ends.set(instanceId, end);
-    if (this.ends.size >= SWEEP_FROM) this.dropOver();
+    this.endsAt.set(instanceId, end);
+    if (this.endsAt.size >= SWEEP_MIN_ENTRIES) this.dropExpired();
     if (known !== undefined) return;
-    this.log.writeInfo('An endpoint asked for a pause.', {
+    this.log.writeInfo('Endpoint requested a pause.', {
       endpoint: instanceId,
       address,
       request: request.kind,
@@ -47,10 +47,10 @@
     });
   }
 
-  private dropOver(): void {
+  private dropExpired(): void {
     const now = this.clock.getNow();
-    for (const [instanceId, end] of this.ends) {
-      if (end <= now) this.ends.delete(instanceId);
+    for (const [instanceId, end] of this.endsAt) {
+      if (end <= now) this.endsAt.delete(instanceId);
     }
   }
 }
--- a/packages/gateway/src/services/gateway_endpoints.ts
+++ b/packages/gateway/src/services/gateway_endpoints.ts
@@ -1,9 +1,10 @@
 /**
- * The endpoints of all services as this host knows them. What is known of one
- * goes by its start: an endpoint that starts again under its id is a new one. A
- * start that was seen leaving never gets new work again; one whose entry vanished
- * while the store was away is kept until the store had time to list it again. An
- * entry that cannot be read names no endpoint and changes nothing of the others.
+ * The endpoints of all services as this host knows them, one record per
+ * instance: an endpoint that restarts under the same id is a new instance. An
+ * instance that was seen leaving never gets new work again. One whose entry
+ * vanished while the store was unavailable is kept until the store had time to
+ * list it again. An entry that cannot be decoded does not affect other
+ * endpoints.
  */
 import type {ReplicaRow} from '@irisdock/decisions';
 import type {Clock, Logger} from '@irisdock/kernel';
@@ -17,57 +18,57 @@
 import {LeavingInstances} from './leaving_instances.js';
 import type {Peers} from './peer_hosts.js';
 
-/** What the endpoints need of the rest. */
+/** Dependencies of the endpoints. */
 export interface GatewayEndpointsParts {
   readonly codec: RowCodec<EndpointEntry>;
   readonly clock: Clock;
   readonly log: Logger;
   readonly getMemoryTokens: (service: string) => number;
-  /** Whether the configuration in force names a service. */
+  /** Whether the current configuration contains a service. */
   readonly isServiceConfigured: (service: string) => boolean;
-  /** Finds the row of an endpoint in the table, by the endpoint's id. */
+  /** Finds an endpoint's row in the table, by the endpoint's id. */
   readonly findRow: (endpointId: string) => ReplicaRow | undefined;
-  /** Counts entries that cannot be read. */
+  /** Counts entries that cannot be decoded. */
   readonly unreadableEntries: Counter;
-  /** For how long a vanished entry stays in use, in ms from now. */
+  /** How much longer endpoints whose entries vanished are kept, in ms. */
   readonly getDepartureDelayMs: () => number;
   readonly peers: Peers;
   readonly pauses: EndpointPauses;
 }
 
-/** Where the leaving state of an endpoint came from. */
+/** How this host learned that an endpoint is leaving. */
 export type LeavingSource = 'answer' | 'entry';
 
-/** How often delayed departures are looked at, in ms. */
-const CHECK_MS = 200;
+/** The interval between checks of delayed removals, in ms. */
+const REMOVAL_CHECK_MS = 200;
 
-/** The endpoints. */
+/** Keeps the records of all known endpoints. */
 export class GatewayEndpoints {
-  /** Differs whenever the endpoints that are known do. */
+  /** Increases whenever an endpoint is added or removed. */
   version = 0;
-  /** Called when an endpoint was added, has changed or is gone. */
+  /** Called after an endpoint was added, changed or removed. */
   handleChange: (() => void) | undefined;
-  /** By the instance id. */
+  /** By instance id. */
   private readonly records = new Map<string, EndpointRecord>();
-  /** The start that is known of each endpoint, by the endpoint's id. */
-  private readonly starts = new Map<string, EndpointRecord>();
+  /** The known instance of each endpoint, by the endpoint's id. */
+  private readonly instances = new Map<string, EndpointRecord>();
   private readonly addresses = new AddressIndex();
-  /** Starts whose entries vanished, and that are still in use. */
+  /** Instances in use whose entries vanished from the store. */
   private readonly vanished = new Set<EndpointRecord>();
-  /** Starts whose entries the store has not listed. */
+  /** Instances that the store has not listed yet. */
   private readonly unlisted = new Set<EndpointRecord>();
 
-  private readonly leavingStarts = new LeavingInstances();
-  private dropTimer: NodeJS.Timeout | undefined;
+  private readonly leavingInstances = new LeavingInstances();
+  private removalTimer: NodeJS.Timeout | undefined;
 
   constructor(private readonly parts: GatewayEndpointsParts) {}
 
-  /** Ends what it waits for. */
+  /** Cancels the pending check of delayed removals. */
   close(): void {
-    clearTimeout(this.dropTimer);
+    clearTimeout(this.removalTimer);
   }
 
-  /** Whether entries may be missing because the store is or was away. */
+  /** Whether entries may be missing because the store is or was unavailable. */
   get isStoreAway(): boolean {
     return this.parts.getDepartureDelayMs() > 0;
   }
@@ -77,17 +78,17 @@
     return this.records.get(instanceId);
   }
 
-  /** Whether any start of an endpoint is known, by the endpoint's id. */
+  /** Whether any instance of an endpoint is known, by the endpoint's id. */
   hasEndpoint(endpointId: string): boolean {
-    return this.starts.has(endpointId);
+    return this.instances.has(endpointId);
   }
 
-  /** Lists all endpoints that are known. */
+  /** Lists all known endpoints. */
   listAll(): Iterable<EndpointRecord> {
     return this.records.values();
   }
 
-  /** What other hosts are told and asked of engines. */
+  /** The other hosts, with which this one exchanges what runs on engines. */
   get peers(): Peers {
     return this.parts.peers;
   }
@@ -112,7 +113,7 @@
     return this.pauses.findEnd(instanceId) !== undefined;
   }
 
-  /** Gives the earliest end of a pause among a service's endpoints, in ms. */
+  /** Returns the earliest end of a pause among a service's endpoints, in ms. */
   findFirstPauseEnd(service: string): number | undefined {
     let first: number | undefined;
     for (const record of this.records.values()) {
@@ -123,20 +124,21 @@
     return first;
   }
 
-  /** Takes the rows of the table. */
+  /** Applies changed rows of the table. */
   applyRows(rows: readonly ReplicaRow[]): void {
     const hostAddresses = this.listHostAddresses();
     for (const {key, value} of rows) {
-      if (value === undefined) this.handleVanished(key);
+      if (value === undefined) this.handleDeletedRow(key);
       else this.applyEntry(key, value, hostAddresses);
     }
   }
 
   /**
-   * Takes it that another endpoint answers at the address of this one. That one
-   * is used again if an entry without its address had taken it out.
+   * Removes an endpoint because another one answers at its address. The one
+   * that answered is added again if the entry of the removed endpoint had
+   * displaced it.
    *
-   * @param answeredBy The id of the endpoint that answered, if it told it.
+   * @param answeredBy The id of the endpoint that answered, if it sent one.
    */
   reportReplaced(record: EndpointRecord, answeredBy: string | undefined): void {
     this.remove(record, 'another endpoint answers at its address');
@@ -148,17 +150,17 @@
 
   /** Marks an instance as leaving for good; it gets no new work. */
   markLeaving(instanceId: string, source: LeavingSource): void {
-    this.leavingStarts.add(instanceId);
+    this.leavingInstances.add(instanceId);
     const record = this.records.get(instanceId);
     if (record?.entry.state !== 'ready') return;
     record.entry = {...record.entry, state: 'leaving'};
     this.handleChange?.();
-    this.writeLeaving(record, source);
+    this.writeLeavingLog(record, source);
   }
 
   /**
-   * Takes in the new start of an endpoint that the store could not list yet;
-   * it is taken out again unless the store lists it after its return.
+   * Adds an endpoint that the store could not list yet, in place of an old one.
+   * It is removed unless the store lists it once it is available again.
    */
   addSuccessor(
     old: EndpointRecord,
@@ -174,13 +176,13 @@
       state: 'ready',
     } as const;
     this.unlisted.add(this.addRecord(entry));
-    this.planDrop();
+    this.planRemoval();
   }
 
-  /** Takes out the entries without a row in the store, once that is back. */
-  private dropVanished(): void {
+  /** Removes endpoints without a row once the store is available again. */
+  private removeUnlisted(): void {
     if (this.isStoreAway) {
-      this.planDrop();
+      this.planRemoval();
       return;
     }
     for (const record of [...this.vanished, ...this.unlisted]) {
@@ -190,23 +192,26 @@
     this.unlisted.clear();
   }
 
-  /** Looks again in a moment; an idle host has no timer for it. */
-  private planDrop(): void {
-    this.dropTimer ??= setTimeout(() => {
-      this.dropTimer = undefined;
-      this.dropVanished();
-    }, CHECK_MS);
+  /** Schedules the next check; no timer runs while nothing is pending. */
+  private planRemoval(): void {
+    this.removalTimer ??= setTimeout(() => {
+      this.removalTimer = undefined;
+      this.removeUnlisted();
+    }, REMOVAL_CHECK_MS);
   }
 
-  private handleVanished(endpointId: string): void {
-    const record = this.starts.get(endpointId);
+  private handleDeletedRow(endpointId: string): void {
+    const record = this.instances.get(endpointId);
     if (record === undefined) return;
     if (this.isStoreAway) {
       this.vanished.add(record);
-      this.planDrop();
-      this.parts.log.writeInfo('An entry vanished while the store was away.', {
-        endpoint: record.instanceId,
-      });
+      this.planRemoval();
+      this.parts.log.writeInfo(
+        'Endpoint entry vanished while the store was unavailable.',
+        {
+          endpoint: record.instanceId,
+        },
+      );
       return;
     }
     this.remove(record, 'its entry is gone');
@@ -220,27 +225,30 @@
     const decoded = this.parts.codec
       .decode(key, value)
       .andThen((entry) => checkAddress(entry, hostAddresses));
-    const known = this.starts.get(key);
+    const known = this.instances.get(key);
     if (decoded.isErr()) {
       const fault = decoded.error;
-      this.parts.log.writeWarning('An entry names no endpoint.', {key, fault});
+      this.parts.log.writeWarning('Failed to decode an endpoint entry.', {
+        key,
+        fault,
+      });
       this.parts.unreadableEntries.inc();
       if (known !== undefined) this.remove(known, 'its entry cannot be read');
       return;
     }
     const entry = decoded.value;
     if (known?.instanceId === entry.instanceId) {
-      this.updateKnown(known, entry);
+      this.updateRecord(known, entry);
       return;
     }
     if (known !== undefined) {
       this.remove(known, 'it started anew', 'restarted');
     }
-    this.removeOthersAt(entry);
+    this.removeOthersAtAddress(entry);
     this.addRecord(entry);
   }
 
-  /** Lists where the hosts that are known listen. */
+  /** Lists the addresses at which this host and its live peers listen. */
   private listHostAddresses(): ReadonlySet<string> {
     const addresses = new Set<string>();
     for (const {place} of this.parts.peers.listAlive()) {
@@ -260,25 +268,25 @@
       () => clock.getNow(),
     );
     this.records.set(record.instanceId, record);
-    this.starts.set(record.endpointId, record);
+    this.instances.set(record.endpointId, record);
     this.addresses.add(record);
     this.version++;
     this.handleChange?.();
     return record;
   }
 
-  /** Who was seen leaving stays so, whatever an older entry says. */
+  /** Keeps an instance leaving, even if an older entry lists it as ready. */
   private keepLeaving(
     entry: EndpointEntry,
     wasLeaving: boolean,
   ): EndpointEntry {
     const {instanceId, state} = entry;
-    if (state === 'leaving') this.leavingStarts.add(instanceId);
-    const isLeaving = wasLeaving || this.leavingStarts.has(instanceId);
+    if (state === 'leaving') this.leavingInstances.add(instanceId);
+    const isLeaving = wasLeaving || this.leavingInstances.has(instanceId);
     return isLeaving ? {...entry, state: 'leaving'} : entry;
   }
 
-  private updateKnown(record: EndpointRecord, entry: EndpointEntry): void {
+  private updateRecord(record: EndpointRecord, entry: EndpointEntry): void {
     this.vanished.delete(record);
     this.unlisted.delete(record);
     const wasLeaving = record.entry.state === 'leaving';
@@ -287,14 +295,14 @@
     this.addresses.add(record);
     this.handleChange?.();
     if (wasLeaving || entry.state === 'ready') return;
-    this.writeLeaving(record, 'entry');
+    this.writeLeavingLog(record, 'entry');
   }
 
-  private writeLeaving(
+  private writeLeavingLog(
     {instanceId, address}: EndpointRecord,
     source: LeavingSource,
   ): void {
-    this.parts.log.writeInfo('An endpoint is leaving.', {
+    this.parts.log.writeInfo('Endpoint is leaving.', {
       endpoint: instanceId,
       address,
       source,
@@ -302,12 +310,12 @@
   }
 
   /**
-   * Takes out who had the address before. Only the entry of a service that the
-   * configuration names does so: another writer's entry must not take a sound
-   * endpoint out. Two that name one address harm nothing, as the endpoint that
-   * answers there refuses what is meant for the other.
+   * Removes the previous endpoints at an entry's address. Only entries of
+   * services in the configuration do so: an entry of another writer must not
+   * remove a healthy endpoint. Two endpoints with one address do no harm, as
+   * the one that answers there rejects requests for the other.
    */
-  private removeOthersAt(entry: EndpointEntry): void {
+  private removeOthersAtAddress(entry: EndpointEntry): void {
     if (!this.parts.isServiceConfigured(entry.service)) return;
     for (const record of this.addresses.list(entry.address)) {
       this.remove(record, 'a newer entry has its address');
@@ -320,7 +328,7 @@
     cause: GoneCause = 'withdrawn',
   ): void {
     this.records.delete(record.instanceId);
-    this.starts.delete(record.endpointId);
+    this.instances.delete(record.endpointId);
     this.addresses.delete(record);
     this.vanished.delete(record);
     this.unlisted.delete(record);
@@ -328,7 +336,7 @@
     record.markGone(cause);
     this.handleChange?.();
     const {instanceId: endpoint, address} = record;
-    this.parts.log.writeInfo('An endpoint is gone.', {
+    this.parts.log.writeInfo('Endpoint removed.', {
       endpoint,
       address,
       reason,
@@ -336,7 +344,10 @@
   }
 }
 
-/** What is sent to a host would come back to the endpoints from there. */
+/**
+ * Rejects an entry with the address of a host: a request sent there would be
+ * forwarded to the endpoints again.
+ */
 function checkAddress(
   entry: EndpointEntry,
   hostAddresses: ReadonlySet<string>,
--- a/packages/gateway/src/services/known_limits.ts
+++ b/packages/gateway/src/services/known_limits.ts
@@ -1,6 +1,6 @@
 /**
- * The limits that endpoints name, as this host believes them: by answers that it
- * got itself, and by what other hosts tell of theirs.
+ * The rate limits that endpoints advertise, as this host knows them: from the
+ * responses that it received itself and from the reports of other hosts.
  */
 import {
   decideRate,
@@ -13,34 +13,34 @@
 /** A limit in force. */
 export interface KnownLimit {
   readonly instanceId: string;
-  /** Requests a second from all hosts together. */
+  /** Requests per second, over all hosts. */
   readonly perSecond: number;
-  /** When it was named first without a break, in ms by this host's clock. */
+  /** Since when the endpoint has had a limit, in ms by this host's clock. */
   readonly since: number;
-  /** Who told of it last: this host's own answers, or another host. */
+  /** The origin of the last report: a response to this host or another host. */
   readonly source: string;
 }
 
-interface Belief extends LimitReport {
+interface StoredReport extends LimitReport {
   readonly since: number;
   readonly source: string;
 }
 
-/** What became of a report. */
+/** The effect of a report: a changed limit, the same limit, or none. */
 export type ReportOutcome = 'changed' | 'known' | 'older';
 
-/** The source of what this host saw in an answer. */
+/** The source of a limit that this host read in a response. */
 const OWN_SOURCE = 'answer';
 /**
- * Endpoints that are remembered; the oldest give way. Far over what one host
- * uses, so that only datagrams of no sense reach it; some 2 MB.
+ * The maximum number of endpoints, some 2 MB; the oldest are evicted. It is far
+ * above what one host uses, so only nonsensical datagrams reach it.
  */
-const MAX_BELIEFS = 20_000;
+const MAX_REPORTS = 20_000;
 
-/** The beliefs. */
+/** Keeps the last report on each endpoint's limit. */
 export class KnownLimits {
-  private readonly beliefs = new Map<string, Belief>();
-  private inForce = 0;
+  private readonly reports = new Map<string, StoredReport>();
+  private limitCount = 0;
 
   constructor(
     private readonly clock: Clock,
@@ -49,37 +49,37 @@
 
   /** The number of limits in force. */
   get count(): number {
-    return this.inForce;
+    return this.limitCount;
   }
 
-  /** Gives what was told of an endpoint last; also that it has no limit. */
+  /** Finds the last report on an endpoint, also one that it has no limit. */
   findReport(instanceId: string): LimitReport | undefined {
-    return this.beliefs.get(instanceId);
+    return this.reports.get(instanceId);
   }
 
-  /** Finds the limit of an endpoint in force, in requests a second. */
+  /** Finds the limit in force of an endpoint, in requests per second. */
   findRate(instanceId: string): number | undefined {
-    // Nothing to look up while no endpoint names a limit.
-    if (this.inForce === 0) return undefined;
-    return this.beliefs.get(instanceId)?.perSecond;
+    // Skips the lookup while no endpoint has a limit.
+    if (this.limitCount === 0) return undefined;
+    return this.reports.get(instanceId)?.perSecond;
   }
 
   /** Lists the limits in force. */
   listLimits(): KnownLimit[] {
     const limits: KnownLimit[] = [];
-    for (const [instanceId, {perSecond, since, source}] of this.beliefs) {
+    for (const [instanceId, {perSecond, since, source}] of this.reports) {
       if (perSecond === undefined) continue;
       limits.push({instanceId, perSecond, since, source});
     }
     return limits;
   }
 
-  /** Takes a limit that an answer named just now. */
-  acceptAdvertised(instanceId: string, named: NamedLimit): ReportOutcome {
-    const before = this.beliefs.get(instanceId)?.perSecond;
-    const perSecond = decideRate(named, before);
-    if (named.kind === 'unreadable' && before === undefined) {
-      this.log.writeWarning('An endpoint names a limit that is no rate.', {
+  /** Applies a limit that a response has just advertised. */
+  acceptAdvertised(instanceId: string, advertised: NamedLimit): ReportOutcome {
+    const before = this.reports.get(instanceId)?.perSecond;
+    const perSecond = decideRate(advertised, before);
+    if (advertised.kind === 'unreadable' && before === undefined) {
+      this.log.writeWarning('Endpoint advertised an unreadable limit.', {
         endpoint: instanceId,
         believed: perSecond,
       });
@@ -88,9 +88,13 @@
     return this.accept(instanceId, report, OWN_SOURCE);
   }
 
-  /** Takes it that an answer to what was sent at a moment named no limit. */
+  /**
+   * Applies a response without a limit.
+   *
+   * @param sentAt When its request was sent, in ms by this host's clock.
+   */
   acceptAbsent(instanceId: string, sentAt: number): ReportOutcome {
-    // Who never named one has nothing to end, and is not remembered.
+    // Endpoints without a limit are not stored.
     if (this.findRate(instanceId) === undefined) return 'known';
     return this.accept(
       instanceId,
@@ -99,24 +103,24 @@
     );
   }
 
-  /** Takes what a host tells, if it is newer than what is believed. */
+  /** Applies a report if it is newer than the last one. */
   accept(
     instanceId: string,
     report: LimitReport,
     source: string,
   ): ReportOutcome {
-    const known = this.beliefs.get(instanceId);
+    const known = this.reports.get(instanceId);
     if (!isNewerReport(report, known)) return 'older';
     const isChanged = known?.perSecond !== report.perSecond;
-    const isStill = known?.perSecond !== undefined;
+    const hadLimit = known?.perSecond !== undefined;
     const since =
-      isStill && report.perSecond !== undefined ? known.since : report.at;
+      hadLimit && report.perSecond !== undefined ? known.since : report.at;
     this.put(instanceId, {...report, since, source});
     if (!isChanged) return 'known';
     this.log.writeInfo(
       report.perSecond === undefined
-        ? 'An endpoint names no limit any more.'
-        : 'An endpoint names a limit.',
+        ? 'Endpoint has no limit any more.'
+        : 'Endpoint limit changed.',
       {
         endpoint: instanceId,
         perSecond: report.perSecond,
@@ -128,24 +132,24 @@
     return 'changed';
   }
 
-  /** Forgets endpoints. */
+  /** Removes an endpoint. */
   drop(instanceId: string): void {
-    const known = this.beliefs.get(instanceId);
-    if (known?.perSecond !== undefined) this.inForce--;
-    this.beliefs.delete(instanceId);
+    const known = this.reports.get(instanceId);
+    if (known?.perSecond !== undefined) this.limitCount--;
+    this.reports.delete(instanceId);
   }
 
-  /** Lists the endpoints of which anything is remembered. */
+  /** Lists the instance ids of all endpoints with a report. */
   listInstanceIds(): string[] {
-    return [...this.beliefs.keys()];
+    return [...this.reports.keys()];
   }
 
-  private put(instanceId: string, belief: Belief): void {
+  private put(instanceId: string, report: StoredReport): void {
     this.drop(instanceId);
-    this.beliefs.set(instanceId, belief);
-    if (belief.perSecond !== undefined) this.inForce++;
-    const [oldest] = this.beliefs.keys();
-    if (this.beliefs.size > MAX_BELIEFS && oldest !== undefined) {
+    this.reports.set(instanceId, report);
+    if (report.perSecond !== undefined) this.limitCount++;
+    const [oldest] = this.reports.keys();
+    if (this.reports.size > MAX_REPORTS && oldest !== undefined) {
       this.drop(oldest);
     }
   }
--- a/packages/gateway/src/services/permit_grants.ts
+++ b/packages/gateway/src/services/permit_grants.ts
@@ -1,6 +1,4 @@
-/**
- * Hands out permits to all hosts for the endpoints whose issuer this host is.
- */
+/** Issues permits to all hosts for the endpoints whose issuer this host is. */
 import {
   computePauseMs,
   NO_SENDS,
@@ -16,82 +14,89 @@
 } from '../model/limit_datagram.js';
 import type {KnownLimits} from './known_limits.js';
 
-/** A question without what only other hosts need to know. */
+/** A permit request without the fields that only other hosts need. */
 export type PermitRequest = Omit<PermitAskDatagram, 'kind' | 'limit'>;
 
-interface GivenAnswer {
+interface SentAnswer {
   readonly incarnation: number;
   readonly at: number;
   readonly answer: PermitAnswerDatagram;
 }
 
-/** What is kept of one endpoint. */
+/** The issuer's state of one endpoint. */
 interface IssuedPermits {
   readonly bucket: PermitBucket;
-  readonly returns: ReturnQueue;
+  /** Schedules the retries of refused callers. */
+  readonly retries: ReturnQueue;
   /** The last answer to each host, by the host's name. */
-  readonly given: Map<string, GivenAnswer>;
+  readonly answers: Map<string, SentAnswer>;
 }
 
-/** When to ask again where this host hands out none, in ms. */
-const NOT_ISSUER_WAIT_MS = 150;
+/**
+ * The retry delay of hosts that ask while this one is not the issuer, in ms.
+ */
+const NOT_ISSUER_RETRY_MS = 150;
 
-/** A host that asked within this time is one of those that ask, in ms. */
-const ASKER_MS = 10_000;
+/**
+ * How long after its last request a host counts as requesting permits, in ms.
+ */
+const REQUESTER_TIMEOUT_MS = 10_000;
 
-/** The permits that this host hands out. */
+/** Grants permits. */
 export class PermitGrants {
   private readonly issued = new Map<string, IssuedPermits>();
 
   constructor(
     private readonly issuers: PermitIssuers,
-    private readonly beliefs: KnownLimits,
+    private readonly limits: KnownLimits,
     private readonly clock: Clock,
   ) {}
 
-  /** Answers a question; the same one again gets the same answer. */
-  decide(instanceId: string, ask: PermitRequest): PermitAnswerDatagram {
+  /**
+   * Answers a permit request; a repeated request gets the same answer again.
+   */
+  decide(instanceId: string, request: PermitRequest): PermitAnswerDatagram {
     const now = this.clock.getNow();
-    const perSecond = this.beliefs.findRate(instanceId);
+    const perSecond = this.limits.findRate(instanceId);
     if (perSecond === undefined) {
       this.issued.delete(instanceId);
-      return this.createAnswer(instanceId, ask, true);
+      return this.createAnswer(instanceId, request, true);
     }
-    const part = this.issuers.computePart(instanceId, perSecond, now);
-    if (part === 0) {
-      // What it gave before is not known to whoever is the issuer next, nor to
-      // this host once it is that again: it starts with none.
+    const share = this.issuers.computePart(instanceId, perSecond, now);
+    if (share === 0) {
+      // The next issuer does not know what this host granted, so each issuer
+      // starts without permits; also this host if it becomes the issuer again.
       this.issued.delete(instanceId);
-      return this.createAnswer(instanceId, ask, false);
+      return this.createAnswer(instanceId, request, false);
     }
     const permits = this.getIssued(instanceId, now);
-    const last = permits.given.get(ask.name);
-    const {incarnation} = ask;
-    const isSame = last?.incarnation === incarnation;
-    if (isSame && last.answer.number === ask.number) return last.answer;
-    const rate = perSecond * part;
-    permits.returns.add(ask.refused, rate, now);
-    const {granted, waitMs} = permits.bucket.take(ask.wanted, rate, now);
+    const last = permits.answers.get(request.name);
+    const {incarnation} = request;
+    const isSameHost = last?.incarnation === incarnation;
+    if (isSameHost && last.answer.number === request.number) return last.answer;
+    const rate = perSecond * share;
+    permits.retries.add(request.refused, rate, now);
+    const {granted, waitMs} = permits.bucket.take(request.wanted, rate, now);
     const answer = {
-      ...this.createAnswer(instanceId, ask, true),
+      ...this.createAnswer(instanceId, request, true),
       granted,
       waitMs,
-      pauseMs: computePauseMs(countAskers(permits, now), perSecond, waitMs),
-      lastReturnMs: permits.returns.computeLastMs(now),
+      pauseMs: computePauseMs(countRequesters(permits, now), perSecond, waitMs),
+      lastReturnMs: permits.retries.computeLastMs(now),
     };
-    permits.given.set(ask.name, {incarnation, at: now, answer});
+    permits.answers.set(request.name, {incarnation, at: now, answer});
     return answer;
   }
 
-  /** Gives what is believed here of an endpoint's limit. */
+  /** Creates this host's view of an endpoint's limit, for other hosts. */
   createLimitSummary(instanceId: string): ToldLimit {
-    const report = this.beliefs.findReport(instanceId);
+    const report = this.limits.findReport(instanceId);
     const now = this.clock.getNow();
     const ageMs = report === undefined ? 0 : Math.max(0, now - report.at);
     return {instanceId, perSecond: report?.perSecond, ageMs};
   }
 
-  /** Forgets an endpoint. */
+  /** Removes an endpoint. */
   drop(instanceId: string): void {
     this.issued.delete(instanceId);
   }
@@ -106,8 +111,8 @@
       number,
       isIssuer,
       granted: NO_SENDS,
-      waitMs: NOT_ISSUER_WAIT_MS,
-      pauseMs: NOT_ISSUER_WAIT_MS,
+      waitMs: NOT_ISSUER_RETRY_MS,
+      pauseMs: NOT_ISSUER_RETRY_MS,
       lastReturnMs: 0,
       limit: this.createLimitSummary(instanceId),
     };
@@ -117,17 +122,17 @@
     let permits = this.issued.get(instanceId);
     if (permits === undefined) {
       const bucket = new PermitBucket(now);
-      permits = {bucket, returns: new ReturnQueue(), given: new Map()};
+      permits = {bucket, retries: new ReturnQueue(), answers: new Map()};
       this.issued.set(instanceId, permits);
     }
     return permits;
   }
 }
 
-/** Counts the hosts that asked of late, and forgets the others. */
-function countAskers({given}: IssuedPermits, now: number): number {
-  for (const [name, {at}] of given) {
-    if (now - at > ASKER_MS) given.delete(name);
+/** Counts the hosts that asked recently and removes the others. */
+function countRequesters({answers}: IssuedPermits, now: number): number {
+  for (const [name, {at}] of answers) {
+    if (now - at > REQUESTER_TIMEOUT_MS) answers.delete(name);
   }
-  return given.size;
+  return answers.size;
 }
--- a/packages/gateway/src/services/permit_queue.ts
+++ b/packages/gateway/src/services/permit_queue.ts
@@ -1,7 +1,7 @@
 /**
- * The sends of this host that wait for permits of one endpoint. They are asked for
- * together, one question at a time, so that a host asks no more often than its
- * questions take to be answered, however many sends wait.
+ * The sends of this host that wait for permits of one endpoint. Their permits
+ * are requested together, one request at a time: a host has at most one request
+ * under way, however many sends wait.
  */
 import {NO_SENDS, type SendCounts, type SendUse} from '@irisdock/decisions';
 import type {Clock} from '@irisdock/kernel';
@@ -13,11 +13,11 @@
   type SendTarget,
 } from '../serving/send_gate.js';
 
-/** What was answered to a question. */
+/** The reply to a permit request. */
 export type PermitReply =
   /** The endpoint has no limit any more. */
   | {readonly kind: 'free'}
-  /** Nobody hands out permits, or nobody answered in time. */
+  /** There is no issuer, or it did not answer in time. */
   | {readonly kind: 'silent'; readonly waitMs: number}
   | {
       readonly kind: 'given';
@@ -27,22 +27,23 @@
       readonly lastReturnMs: number;
     };
 
-/** What a queue asks. */
+/** A queue's request for permits. */
 export interface QueueRequest {
   readonly wanted: SendCounts;
+  /** Callers that were told to retry later since the last request. */
   readonly refused: number;
-  /** Which of the issuers is asked, where there are several. */
+  /** Selects the issuer where there are several. */
   readonly turn: number;
 }
 
-/** What a queue works with. */
+/** Dependencies of a queue. */
 export interface PermitQueueParts {
   readonly clock: Clock;
-  /** Which issuer this host asks first; others begin with others. */
+  /** Selects the first issuer; it differs between hosts. */
   readonly firstTurn: number;
-  /** Asks the issuer. */
+  /** Sends a request to the issuer. */
   readonly poll: (question: QueueRequest) => Promise<PermitReply>;
-  /** The limit, in requests a second; undefined without one. */
+  /** Returns the limit, in requests per second; undefined without one. */
   readonly findRate: () => number | undefined;
   readonly findIssuer: (turn: number) => string | undefined;
 }
@@ -55,18 +56,18 @@
 
 const MILLI = 1000;
 
-/** The queue for one endpoint. */
+/** Queues the sends to one endpoint until they get permits. */
 export class PermitQueue {
-  /** Sends that were let through and held back since the queue began. */
+  /** Sends that were admitted and held back by this queue. */
   given = 0;
   held = 0;
   private waiting: Waiter[] = [];
-  private isAsking = false;
-  private quietUntil = -Infinity;
-  private nextAt = -Infinity;
-  private turnAt = -Infinity;
+  private isPolling = false;
+  private pausedUntil = -Infinity;
+  private nextPermitAt = -Infinity;
+  private nextProbeAt = -Infinity;
   private reason: LimitHoldReason = 'used-up';
-  private lastReturnAt = -Infinity;
+  private lastRetryAt = -Infinity;
   private refused = 0;
   private turn: number;
 
@@ -74,82 +75,82 @@
     this.turn = parts.firstTurn;
   }
 
-  /** Waits for a permit, as long as one question takes. */
+  /** Waits for a permit, for one request to the issuer. */
   async wait(target: SendTarget, use: SendUse): Promise<SendAdmission> {
-    const isQuiet = this.parts.clock.getNow() < this.quietUntil;
-    if (isQuiet && use !== 'begun') return this.createHold(target);
+    const isPaused = this.parts.clock.getNow() < this.pausedUntil;
+    if (isPaused && use !== 'begun') return this.createHold(target);
     return new Promise((finish) => {
       this.waiting.push({use, target, finish});
-      if (!this.isAsking) void this.pollAll();
+      if (!this.isPolling) void this.pollAll();
     });
   }
 
-  /** Gives when one more caller may come back, in ms from now. */
+  /** Computes after how long one more caller may retry, in ms. */
   computeRetryDelayMs(perSecond: number): number {
     const now = this.parts.clock.getNow();
-    const lastMs = Math.max(0, this.lastReturnAt - now);
+    const lastMs = Math.max(0, this.lastRetryAt - now);
     const afterMs = ((this.refused + 1) * MILLI) / perSecond;
-    return Math.max(this.nextAt - now, lastMs + afterMs);
+    return Math.max(this.nextPermitAt - now, lastMs + afterMs);
   }
 
-  /** Takes it that the limit has changed: there may be permits now. */
+  /** Lets sends request permits again after the limit has changed. */
   endPause(): void {
-    this.quietUntil = -Infinity;
+    this.pausedUntil = -Infinity;
   }
 
-  /** Takes the turn to try the endpoint; there is one in a while. */
-  takeProbe(everyMs: number): boolean {
+  /** Whether the endpoint may be probed now: true at most once per interval. */
+  takeProbe(intervalMs: number): boolean {
     const now = this.parts.clock.getNow();
-    if (now < this.turnAt) return false;
-    this.turnAt = now + everyMs;
+    if (now < this.nextProbeAt) return false;
+    this.nextProbeAt = now + intervalMs;
     return true;
   }
 
-  /** Takes it that a caller was told to come back here. */
+  /** Records that a caller was told to retry later. */
   addRetry(): void {
     this.refused++;
   }
 
   private async pollAll(): Promise<void> {
-    this.isAsking = true;
+    this.isPolling = true;
     while (this.waiting.length > 0) {
-      const asked = this.waiting;
+      const waiters = this.waiting;
       this.waiting = [];
       const {refused} = this;
       this.refused = 0;
       const reply = await this.parts.poll({
-        wanted: countUses(asked),
+        wanted: countUses(waiters),
         refused,
         turn: this.turn,
       });
-      this.finishAll(asked, reply);
+      this.finishAll(waiters, reply);
     }
-    this.isAsking = false;
+    this.isPolling = false;
   }
 
-  private finishAll(asked: readonly Waiter[], reply: PermitReply): void {
+  private finishAll(waiters: readonly Waiter[], reply: PermitReply): void {
     if (reply.kind === 'free') {
-      for (const {target, finish} of asked) finish(new SendPermit(target));
+      for (const {target, finish} of waiters) finish(new SendPermit(target));
       return;
     }
     const now = this.parts.clock.getNow();
-    this.nextAt = now + reply.waitMs;
+    this.nextPermitAt = now + reply.waitMs;
     this.reason = reply.kind === 'given' ? 'used-up' : 'no-issuer';
-    if (reply.kind === 'given') this.lastReturnAt = now + reply.lastReturnMs;
-    const left = {...(reply.kind === 'given' ? reply.granted : NO_SENDS)};
-    for (const {use, target, finish} of asked) {
-      if (left[use] > 0) {
-        left[use]--;
+    if (reply.kind === 'given') this.lastRetryAt = now + reply.lastReturnMs;
+    const remaining = {...(reply.kind === 'given' ? reply.granted : NO_SENDS)};
+    for (const {use, target, finish} of waiters) {
+      if (remaining[use] > 0) {
+        remaining[use]--;
         this.given++;
         finish(new SendPermit(target));
         continue;
       }
-      // Where there are several issuers, another may have some left.
+      // Another issuer, if there is one, may have permits left.
       this.turn++;
       if (use === 'usual') {
         const {waitMs} = reply;
         const pauseMs = reply.kind === 'given' ? reply.pauseMs : waitMs;
-        this.quietUntil = now + pauseMs;
+        this.pausedUntil = now + pauseMs;
       }
       finish(this.createHold(target));
     }
@@ -158,7 +159,7 @@
   private createHold(target: SendTarget): SendAdmission {
     const {clock, findRate, findIssuer} = this.parts;
     const perSecond = findRate();
-    // It ended while the question was under way.
+    // The limit ended while the request was under way.
     if (perSecond === undefined) return new SendPermit(target);
     this.held++;
     const hold: LimitHold = {
@@ -167,7 +168,7 @@
       reason: this.reason,
       perSecond,
       issuer: findIssuer(this.turn),
-      waitMs: Math.max(0, this.nextAt - clock.getNow()),
+      waitMs: Math.max(0, this.nextPermitAt - clock.getNow()),
     };
     return hold;
   }
--- a/packages/gateway/src/services/send_limits.ts
+++ b/packages/gateway/src/services/send_limits.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the limits that endpoints name, over all hosts together: the gate before
- * every connection, and this host's part in handing out permits.
+ * Enforces the rate limits that endpoints advertise, over all hosts: admits
+ * connections by permits, and issues permits where this host is the issuer.
  * docs/design/endpoint_limits.md.
  */
 import {
@@ -42,7 +42,7 @@
   type PermitReply,
 } from './permit_queue.js';
 
-/** What the limits work with. */
+/** Dependencies of the limits. */
 export interface SendLimitsParts {
   readonly identity: HostIdentity;
   readonly peers: Pick<
@@ -58,51 +58,58 @@
   readonly log: Logger;
 }
 
-/** A limit as operators are shown it. */
+/** A limit in force, as shown to operators. */
 export interface LimitStatus extends KnownLimit {
   readonly issuer: string | undefined;
-  /** Sends of this host that were let through and held back since it began. */
+  /**
+   * Sends of this host that were admitted and held back since the first one.
+   */
   readonly given: number;
   readonly held: number;
 }
 
-/** Until the next question when nobody answers, in ms; a loss is known by then. */
-const SILENT_WAIT_MS = 200;
 /**
- * After so long without an answer of the endpoint a limit is looked at again, in
- * ms. At 350 hosts that have requests it makes 120 questions a second.
+ * The delay before the next permit request when no issuer answers, in ms; by
+ * then the loss of the issuer is detected.
+ */
+const RETRY_DELAY_MS = 200;
+/**
+ * A limit is checked again after this time without a response of its endpoint,
+ * in ms. 350 hosts with requests then make 120 permit requests per second.
  */
-const CONFIRM_MS = 3000;
-/** Beats between two looks at what is to be forgotten. */
-const SWEEP_BEATS = 16;
-/** A limit that ended is remembered so long against older reports, in ms. */
-const ENDED_KEPT_MS = 60_000;
+const RECHECK_MS = 3000;
+/** Heartbeats between two removals of old entries. */
+const SWEEP_HEARTBEATS = 16;
+/**
+ * How long an ended limit is kept so that no older report revives it, in ms.
+ */
+const ENDED_LIMIT_KEEP_MS = 60_000;
 
-/** The limits. */
+/** Admits sends within the limits of endpoints. */
 export class SendLimits implements LimitDatagramHandler, SendGate {
   readonly known: KnownLimits;
   private readonly issuers: PermitIssuers;
   private readonly grants: PermitGrants;
-  private readonly questions: PeerRequests<
+  private readonly requests: PeerRequests<
     PermitAskDatagram,
     PermitAnswerDatagram
   >;
-  private readonly notices: LimitPublisher;
+  private readonly publisher: LimitPublisher;
   private readonly queues = new Map<string, PermitQueue>();
   private recordsHash: number | undefined;
-  private mayLive = 0;
-  private beats = 0;
-  private ownAsks = 0;
+  private possiblyAlive = 0;
+  private heartbeats = 0;
+  private localRequests = 0;
 
   constructor(private readonly parts: SendLimitsParts) {
     const {identity, peers, clock, log} = parts;
     this.known = new KnownLimits(clock, log);
     this.issuers = new PermitIssuers(identity.name, clock.getNow());
     this.grants = new PermitGrants(this.issuers, this.known, clock);
-    this.questions = new PeerRequests(clock, (to, ask) => {
-      peers.sendToNames([to], ask);
+    this.requests = new PeerRequests(clock, (to, request) => {
+      peers.sendToNames([to], request);
     });
-    this.notices = new LimitPublisher({
+    this.publisher = new LimitPublisher({
       ownName: identity.name,
       findIssuer: (instanceId) => this.findFirstIssuer(instanceId),
       createLimitSummary: (instanceId) =>
@@ -116,7 +123,7 @@
     });
   }
 
-  /** Lists the limits in force, as this host knows and keeps them. */
+  /** Lists the limits in force with this host's counts. */
   listLimits(): LimitStatus[] {
     return this.known.listLimits().map((limit) => {
       const {instanceId} = limit;
@@ -140,9 +147,10 @@
   }
 
   /**
-   * An endpoint with a limit may look slower than others that have room, and get
-   * nothing; then no answer would ever tell that its limit is over. The permit
-   * that it has free is used for that.
+   * Chooses an endpoint whose limit needs to be checked again. An endpoint with
+   * a limit may look slower than others with capacity and get no requests; then
+   * no response would tell that its limit has ended. A free permit is used for
+   * it.
    */
   takeUnconfirmed<T extends SendTarget>(targets: Iterable<T>): T | undefined {
     if (this.known.count === 0) return undefined;
@@ -150,8 +158,8 @@
     for (const target of targets) {
       const report = this.known.findReport(target.instanceId);
       if (report?.perSecond === undefined) continue;
-      if (now - report.at < CONFIRM_MS) continue;
-      if (this.getQueue(target.instanceId).takeProbe(CONFIRM_MS)) return target;
+      if (now - report.at < RECHECK_MS) continue;
+      if (this.getQueue(target.instanceId).takeProbe(RECHECK_MS)) return target;
     }
     return undefined;
   }
@@ -176,59 +184,59 @@
       best = queue;
       bestMs = ms;
     }
-    if (best === undefined) return SILENT_WAIT_MS;
+    if (best === undefined) return RETRY_DELAY_MS;
     best.addRetry();
     return bestMs;
   }
 
   startHeartbeat(): void {
-    this.beats++;
-    if (this.beats % SWEEP_BEATS === 0) this.dropOld();
+    this.heartbeats++;
+    if (this.heartbeats % SWEEP_HEARTBEATS === 0) this.dropExpired();
   }
 
   acceptLimits({name, limits}: LimitsDatagram): void {
     for (const limit of limits) {
       const {instanceId} = limit;
-      const outcome = this.acceptTold(limit, name);
+      const outcome = this.acceptRemoteReport(limit, name);
       this.handleOutcome(instanceId, outcome, this.isIssuer(instanceId));
     }
   }
 
-  acceptPermitRequest(ask: PermitAskDatagram): void {
-    const {instanceId} = ask.limit;
-    const outcome = this.acceptTold(ask.limit, ask.name);
+  acceptPermitRequest(request: PermitAskDatagram): void {
+    const {instanceId} = request.limit;
+    const outcome = this.acceptRemoteReport(request.limit, request.name);
     this.handleOutcome(instanceId, outcome, this.isIssuer(instanceId));
-    const answer = this.grants.decide(instanceId, ask);
-    this.parts.peers.sendToNames([ask.name], answer);
+    const answer = this.grants.decide(instanceId, request);
+    this.parts.peers.sendToNames([request.name], answer);
   }
 
   acceptPermitAnswer(answer: PermitAnswerDatagram): void {
-    this.questions.accept(answer);
+    this.requests.accept(answer);
   }
 
   close(): void {
-    this.notices.close();
+    this.publisher.close();
   }
 
-  /** Acts on a limit that has changed. */
+  /** Ends the pause of the queue and informs other hosts of a changed limit. */
   private handleOutcome(
     instanceId: string,
     outcome: ReportOutcome,
-    isTold: boolean,
+    mustPublish: boolean,
   ): void {
     if (outcome !== 'changed') return;
     this.queues.get(instanceId)?.endPause();
-    if (isTold) this.notices.publish(instanceId);
+    if (mustPublish) this.publisher.publish(instanceId);
   }
 
-  /** Finds an issuer among the hosts that are alive now. */
+  /** Finds an issuer among the hosts that are alive. */
   private findIssuer(instanceId: string, turn: number): string | undefined {
     this.updateHosts();
     const perSecond = this.known.findRate(instanceId) ?? 0;
     return this.issuers.findIssuer(instanceId, perSecond, turn);
   }
 
-  /** Finds the host that tells all others of the limit. */
+  /** Finds the issuer that informs all other hosts of the limit. */
   private findFirstIssuer(instanceId: string): string | undefined {
     return this.findIssuer(instanceId, 0);
   }
@@ -242,7 +250,7 @@
     if (queue === undefined) {
       queue = new PermitQueue({
         clock: this.parts.clock,
-        poll: (question) => this.tryPoll(instanceId, question),
+        poll: (request) => this.tryPoll(instanceId, request),
         findRate: () => this.known.findRate(instanceId),
         firstTurn: hashText(this.parts.identity.name),
         findIssuer: (turn) => this.findIssuer(instanceId, turn),
@@ -252,39 +260,42 @@
     return queue;
   }
 
-  /** Asks; what waits is answered whatever happens on the way. */
+  /** Requests permits; the waiting sends get a reply even if this throws. */
   private async tryPoll(
     instanceId: string,
-    question: QueueRequest,
+    request: QueueRequest,
   ): Promise<PermitReply> {
     try {
-      return await this.poll(instanceId, question);
+      return await this.poll(instanceId, request);
     } catch (thrown) {
       const error = getErrorText(thrown);
-      this.parts.log.writeError('Permits could not be asked for.', {error});
-      return {kind: 'silent', waitMs: SILENT_WAIT_MS};
+      this.parts.log.writeError('Failed to request permits.', {error});
+      return {kind: 'silent', waitMs: RETRY_DELAY_MS};
     }
   }
 
   private async poll(
     instanceId: string,
-    question: QueueRequest,
+    queueRequest: QueueRequest,
   ): Promise<PermitReply> {
     const {name, incarnation} = this.parts.identity;
-    const {turn, ...wanted} = question;
+    const {turn, ...wanted} = queueRequest;
     const issuer = this.findIssuer(instanceId, turn);
-    if (issuer === undefined) return {kind: 'silent', waitMs: SILENT_WAIT_MS};
+    if (issuer === undefined) return {kind: 'silent', waitMs: RETRY_DELAY_MS};
     const limit = this.grants.createLimitSummary(instanceId);
-    const ask = {...wanted, name, incarnation, limit};
+    const request = {...wanted, name, incarnation, limit};
     const answer =
       issuer === name
-        ? this.grants.decide(instanceId, {...ask, number: this.countOwnAsk()})
-        : await this.questions.poll(issuer, (number) => {
-            return {...ask, kind: 'permit-ask', number};
+        ? this.grants.decide(instanceId, {
+            ...request,
+            number: this.countLocalRequest(),
+          })
+        : await this.requests.poll(issuer, (number) => {
+            return {...request, kind: 'permit-ask', number};
           });
-    if (answer === undefined) return {kind: 'silent', waitMs: SILENT_WAIT_MS};
+    if (answer === undefined) return {kind: 'silent', waitMs: RETRY_DELAY_MS};
     if (issuer !== name) {
-      const outcome = this.acceptTold(answer.limit, issuer);
+      const outcome = this.acceptRemoteReport(answer.limit, issuer);
       this.handleOutcome(instanceId, outcome, false);
     }
     if (this.known.findRate(instanceId) === undefined) return {kind: 'free'};
@@ -293,19 +304,19 @@
     return {kind: 'given', granted, waitMs, pauseMs, lastReturnMs};
   }
 
-  /** Gives each of this host's own questions to itself another number. */
-  private countOwnAsk(): number {
-    this.ownAsks++;
-    return this.ownAsks;
+  /** Numbers the permit requests that this host makes to itself. */
+  private countLocalRequest(): number {
+    this.localRequests++;
+    return this.localRequests;
   }
 
-  private acceptTold(
+  private acceptRemoteReport(
     {instanceId, perSecond, ageMs}: ToldLimit,
     source: string,
   ): ReportOutcome {
     const at = this.parts.clock.getNow() - ageMs;
     const isLimited = perSecond !== undefined;
-    // Who knows of no limit has nothing to end.
+    // Endpoints without a limit are not stored.
     if (!isLimited && this.known.findRate(instanceId) === undefined) {
       return 'known';
     }
@@ -316,22 +327,25 @@
     return this.known.accept(instanceId, report, source);
   }
 
-  /** Not in each beat: it looks at all hosts, and most have no limit to keep. */
+  /**
+   * Updates the issuers if the known hosts changed. It reads all hosts, so it
+   * runs on use and not in each heartbeat: most hosts have no limit to enforce.
+   */
   private updateHosts(): void {
     const {peers} = this.parts;
     const {recordsHash} = peers;
-    const mayLive = peers.countPossiblyAlive();
+    const possiblyAlive = peers.countPossiblyAlive();
     const isSame = recordsHash === this.recordsHash;
-    if (isSame && mayLive === this.mayLive) return;
+    if (isSame && possiblyAlive === this.possiblyAlive) return;
     this.recordsHash = recordsHash;
-    this.mayLive = mayLive;
+    this.possiblyAlive = possiblyAlive;
     const names = peers.listReadyNames();
-    this.issuers.update({names, mayLive});
+    this.issuers.update({names, mayLive: possiblyAlive});
   }
 
-  /** Forgets endpoints that are gone, and limits that ended long ago. */
-  private dropOld(): void {
-    const oldest = this.parts.clock.getNow() - ENDED_KEPT_MS;
+  /** Removes endpoints that are gone and limits that ended long ago. */
+  private dropExpired(): void {
+    const oldest = this.parts.clock.getNow() - ENDED_LIMIT_KEEP_MS;
     for (const instanceId of this.known.listInstanceIds()) {
       const report = this.known.findReport(instanceId);
       const isEnded =
--- a/scripts/limit_trials.mjs
+++ b/scripts/limit_trials.mjs
@@ -90,7 +90,7 @@
   [
     'limit: a limit without an answer is looked at again',
     `${GATEWAY}/services/send_limits.js`,
-    'now - report.at < CONFIRM_MS',
+    'now - report.at < RECHECK_MS',
     'true',
     SUM,
     'comes and goes each second',
