--- a/packages/gateway/src/services/datagram_handlers.ts
+++ b/packages/gateway/src/services/datagram_handlers.ts
@@ -1,6 +1,7 @@
 /**
- * Who takes the datagrams of other hosts about roll-outs, crashes, limits and
- * leases; the services behind them set themselves once they are created.
+ * Passes datagrams of other hosts about roll-outs, crashes, limits and leases
+ * to the services that handle them. These services register themselves on
+ * creation.
  */
 import type {Crash} from '@irisdock/decisions';
 import type {
@@ -21,35 +22,35 @@
   LeaseEndDatagram,
 } from '../model/run_lease_datagram.js';
 
-/** Takes what other hosts tell of roll-outs. */
+/** Handles datagrams about roll-outs. */
 export interface RolloutDatagramHandler {
   acceptReport(datagram: RolloutReportDatagram): void;
   acceptPhase(datagram: RolloutPhaseDatagram): void;
 }
 
-/** Takes what other hosts tell of contents that end endpoints. */
+/** Handles datagrams about request contents that crash endpoints. */
 export interface CrashDatagramHandler {
   acceptCrashes(crashes: readonly Crash[]): void;
   acceptCleared(content: string): void;
 }
 
-/** Takes what other hosts tell and ask of limits that endpoints name. */
+/** Handles datagrams about the rate limits that endpoints advertise. */
 export interface LimitDatagramHandler {
-  /** Takes it that a beat has begun. */
+  /** Does the work of one heartbeat. */
   startHeartbeat(): void;
   acceptLimits(datagram: LimitsDatagram): void;
   acceptPermitRequest(datagram: PermitAskDatagram): void;
   acceptPermitAnswer(datagram: PermitAnswerDatagram): void;
 }
 
-/** Takes what other hosts request and grant of leases on runs. */
+/** Handles requests and grants of run leases. */
 export interface LeaseDatagramHandler {
   acceptLeaseRequest(datagram: LeaseAskDatagram): void;
   acceptLeaseAnswer(datagram: LeaseAnswerDatagram): void;
   acceptLeaseRelease(datagram: LeaseEndDatagram): void;
 }
 
-/** A datagram that goes to a board. */
+/** A datagram that goes to one of the handlers. */
 export type HandledDatagram =
   | ClearedDatagram
   | CrashesDatagram
@@ -57,14 +58,14 @@
   | RolloutPhaseDatagram
   | RolloutReportDatagram;
 
-/** The boards; a datagram without one is dropped. */
+/** Holds the registered handlers; a datagram without a handler is dropped. */
 export class DatagramHandlers {
   rollouts: RolloutDatagramHandler | undefined;
   crashes: CrashDatagramHandler | undefined;
   limits: LimitDatagramHandler | undefined;
   leases: LeaseDatagramHandler | undefined;
 
-  /** Passes a datagram to its board. */
+  /** Passes a datagram to its handler. */
   accept(datagram: HandledDatagram): void {
     switch (datagram.kind) {
       case 'rollout-report':
--- a/packages/gateway/src/services/engine_groups.ts
+++ b/packages/gateway/src/services/engine_groups.ts
@@ -1,7 +1,7 @@
 /**
- * Which group this host belongs to, and which hosts are the home of an engine,
- * by the hosts that are alive and the engines that are known. Worked out anew
- * only when one of the two has changed.
+ * Computes the group of this host and the home group of each engine from the
+ * live hosts and the known engines. The result is cached until one of them
+ * changes.
  */
 import {
   createHomes,
@@ -14,14 +14,14 @@
 import {getShuffled, type Random} from '@irisdock/kernel';
 import type {PeerPlace} from '../model/peer_message.js';
 
-/** The engines that are known here. */
+/** The known engines. */
 export interface EngineList {
-  /** Differs whenever the engines do. */
+  /** Changes whenever the engines do. */
   readonly version: number;
   listEngines(): readonly HousedEngine[];
 }
 
-interface Homes {
+interface HomeGroups {
   readonly recordsHash: number;
   readonly version: number;
   readonly groups: readonly HostGroup[];
@@ -29,16 +29,16 @@
   readonly homes: ReadonlyMap<string, HostGroup>;
 }
 
-/** Hosts of a group that get what is for all of it; one may be lost. */
-const RELAYS = 2;
+/** Hosts per group that relay a datagram within it; two, as one may be lost. */
+const RELAYS_PER_GROUP = 2;
 
 const NO_ENGINES: EngineList = {version: -1, listEngines: () => []};
 
-/** Groups of hosts and the engines that they are the home of. */
+/** Keeps the groups of hosts and the home group of each engine. */
 export class EngineGroups {
   /** Set by the service that knows the engines. */
   engines: EngineList = NO_ENGINES;
-  private known: Homes | undefined;
+  private cached: HomeGroups | undefined;
 
   constructor(
     private readonly ownName: string,
@@ -47,32 +47,32 @@
     private readonly random: Random,
   ) {}
 
-  /** Lists the other hosts of this host's group. */
+  /** Lists the other hosts in this host's group. */
   listGroup(): KnownHost<PeerPlace>[] {
-    return this.listHosts(this.getHomes().group);
+    return this.listHosts(this.getHomeGroups().group);
   }
 
-  /** Lists a few hosts of each other group, drawn at random. */
+  /** Lists a few hosts of each other group, chosen at random. */
   listRelays(): KnownHost<PeerPlace>[] {
-    const {groups, group: own} = this.getHomes();
+    const {groups, group: own} = this.getHomeGroups();
     const relays: KnownHost<PeerPlace>[] = [];
     for (const group of groups) {
       if (group === own) continue;
       const hosts = getShuffled(this.listHosts(group), this.random);
-      relays.push(...hosts.slice(0, RELAYS));
+      relays.push(...hosts.slice(0, RELAYS_PER_GROUP));
     }
     return relays;
   }
 
-  /** Whether this host's group is the home of an engine. */
+  /** Whether this host's group is the home group of an engine. */
   isHome(instanceId: string): boolean {
-    const {group, homes} = this.getHomes();
+    const {group, homes} = this.getHomeGroups();
     return group !== undefined && homes.get(instanceId) === group;
   }
 
-  /** Lists the other hosts of the group that is the home of an engine. */
+  /** Lists the other hosts in the home group of an engine. */
   listHomeHosts(instanceId: string): KnownHost<PeerPlace>[] {
-    return this.listHosts(this.getHomes().homes.get(instanceId));
+    return this.listHosts(this.getHomeGroups().homes.get(instanceId));
   }
 
   private listHosts(group: HostGroup | undefined): KnownHost<PeerPlace>[] {
@@ -84,12 +84,12 @@
     return hosts;
   }
 
-  private getHomes(): Homes {
+  private getHomeGroups(): HomeGroups {
     const {recordsHash} = this.view;
     const {version} = this.engines;
-    const {known} = this;
-    if (known?.recordsHash === recordsHash && known.version === version) {
-      return known;
+    const {cached} = this;
+    if (cached?.recordsHash === recordsHash && cached.version === version) {
+      return cached;
     }
     const {failureDomain} = this.ownPlace;
     const hosts = [{name: this.ownName, failureDomain}];
@@ -99,7 +99,7 @@
     const groups = createHostGroups(hosts);
     const group = groups.find(({names}) => names.includes(this.ownName));
     const homes = createHomes(groups, this.engines.listEngines());
-    this.known = {recordsHash, version, groups, group, homes};
-    return this.known;
+    this.cached = {recordsHash, version, groups, group, homes};
+    return this.cached;
   }
 }
--- a/packages/gateway/src/services/host_pages.ts
+++ b/packages/gateway/src/services/host_pages.ts
@@ -1,4 +1,4 @@
-/** What operators see of the hosts: `GET /v1/hosts`. */
+/** The operators' list of hosts: `GET /v1/hosts`. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Clock} from '@irisdock/kernel';
 import type {GatewayConfiguration} from './configuration.js';
@@ -8,14 +8,14 @@
 const PATH = '/v1/hosts';
 const MILLI = 1000;
 
-/** What the page shows. */
+/** Dependencies of the page. */
 export interface HostPagesParts {
   readonly peers: Peers;
   readonly configuration: GatewayConfiguration;
   readonly clock: Clock;
 }
 
-/** Answers a request for this page; false when it is for another one. */
+/** Answers a request for this page; returns false for any other request. */
 export function handleHostPages(
   message: IncomingMessage,
   response: ServerResponse,
--- a/packages/gateway/src/services/host_phase.ts
+++ b/packages/gateway/src/services/host_phase.ts
@@ -1,6 +1,6 @@
 /**
- * The service `phase`: where this host is in its life. It is ready once it
- * knows a configuration, and leaving from the moment it is told to stop.
+ * The service `phase`: the life-cycle state of this host. It is ready once it
+ * has a configuration, and leaving from the moment it is told to stop.
  */
 import {createService, createServiceKey, type Clock} from '@irisdock/kernel';
 import * as z from 'zod';
@@ -8,10 +8,10 @@
 import type {PeerState} from './host_tracker.js';
 import {PEERS} from './peers.js';
 
-/** Ages of the configuration from which it may be old, in ms. */
-const MAY_BE_BEHIND_MS = 4500;
+/** The age from which the configuration may be outdated, in ms. */
+const MAY_BE_STALE_MS = 4500;
 
-/** Where this host is in its life. */
+/** Tracks the life-cycle state of this host. */
 export class HostPhase {
   private leavingSince: number | undefined;
 
@@ -19,7 +19,7 @@
     private readonly clock: Clock,
     private readonly isConfigured: () => boolean,
     private readonly getConfigurationAgeMs: (now: number) => number,
-    /** How long a planned stop may take in all, in ms. */
+    /** How long a planned stop may take in total, in ms. */
     readonly graceMs: number,
   ) {}
 
@@ -32,29 +32,30 @@
     return this.leavingSince !== undefined;
   }
 
-  /** How long ago the host was told to stop, in ms; 0 before. */
+  /** How long ago the host was told to stop, in ms; 0 if it was not. */
   get leavingMs(): number {
     if (this.leavingSince === undefined) return 0;
     return this.clock.getNow() - this.leavingSince;
   }
 
-  /** Whether a stream that begins now would be cut by the end of the stop. */
+  /** Whether the planned stop would likely cut a stream that starts now. */
   get isTooLateForStreams(): boolean {
-    return this.leavingMs > this.graceMs * LAST_STREAM_PART;
+    return this.leavingMs > this.graceMs * STREAM_ACCEPT_FRACTION;
   }
 
+  /** Whether the configuration may be outdated. */
   get mayBeBehind(): boolean {
-    return this.getConfigurationAgeMs(this.clock.getNow()) > MAY_BE_BEHIND_MS;
+    return this.getConfigurationAgeMs(this.clock.getNow()) > MAY_BE_STALE_MS;
   }
 
-  /** Takes it that the host was told to stop. */
+  /** Records that the host was told to stop. */
   startLeaving(): void {
     this.leavingSince ??= this.clock.getNow();
   }
 }
 
-/** The part of a planned stop in which streams are still begun. */
-const LAST_STREAM_PART = 0.3;
+/** The fraction of a planned stop in which new streams are still accepted. */
+const STREAM_ACCEPT_FRACTION = 0.3;
 
 /** The key of the service. */
 export const HOST_PHASE = createServiceKey<HostPhase>('phase');
--- a/packages/gateway/src/services/host_summaries.ts
+++ b/packages/gateway/src/services/host_summaries.ts
@@ -1,34 +1,34 @@
 /**
  * The hosts of the deployment as one of them knows them, for operators: which
- * live, who reads the store, and which configuration each was last heard to
- * have. What is wrong comes first.
+ * are alive, which read the store, and which configuration each has according
+ * to its last message. Hosts with faults come first.
  */
 import type {HostRecord, HostStanding} from '@irisdock/decisions';
 import type {TableRevisions} from '../model/peer_message.js';
 
-/** What a host was last heard to have. */
+/** The revisions that a host last sent. */
 export interface LastHeard {
   readonly revisions: TableRevisions;
-  /** When it was heard, in ms. */
+  /** When they arrived, in ms by this host's clock. */
   readonly at: number;
 }
 
-/** One host. */
+/** The state of one host, as shown to operators under these field names. */
 export interface HostSummary {
   readonly name: string;
   readonly failureDomain: string;
   readonly standing: HostStanding;
   readonly state: HostRecord['state'];
   readonly isStoreAway: boolean;
-  /** `reader 0` and on, or `listener`. */
+  /** `reader 0`, `reader 1` and so on for store readers, else `listener`. */
   readonly role: string;
-  /** The highest revision of a change of the configuration that it has. */
+  /** The latest configuration revision that the host has. */
   readonly configuration: number | undefined;
-  /** How long ago it was heard; 0 for the host that shows. */
+  /** How long ago it was last heard from, in ms; 0 for the answering host. */
   readonly heardMs: number | undefined;
 }
 
-/** Orders the hosts: those with most faults first, then by name. */
+/** Sorts hosts by descending number of faults, then by name. */
 export function sortHostSummaries(
   hosts: readonly HostSummary[],
 ): HostSummary[] {
--- a/packages/gateway/src/services/host_tracker.ts
+++ b/packages/gateway/src/services/host_tracker.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps track of the other hosts: carries the messages of `HostWatch`, with
- * which changes of the tables a host knows and the reports of those that read
- * the store.
+ * Tracks the other hosts: carries the gossip messages that detect failures of
+ * hosts. Each message also has the sender's table revisions and the reports of
+ * the hosts that read the store.
  */
 import {
   hashText,
@@ -25,24 +25,24 @@
 import type {Tables} from '../tables/tables.js';
 import type {SendToHosts} from './use_publisher.js';
 
-/** Whether a host takes callers. */
+/** The life-cycle state of a host: starting, ready for callers, or leaving. */
 export type PeerState = HostRecord['state'];
 
-/** A host that is believed to be alive. */
+/** A host that is considered alive. */
 export interface AliveHost {
   readonly record: HostRecord;
   readonly place: PeerPlace;
 }
 
-/** What the tracker needs of the rest. */
+/** Dependencies of the tracker. */
 export interface HostTrackerParts {
   readonly name: string;
   readonly incarnation: number;
-  /** Where others reach this host. */
+  /** The addresses and the failure domain of this host. */
   readonly place: PeerPlace;
-  /** The time between two beats, in ms. */
+  /** The time between two heartbeats, in ms. */
   readonly heartbeatMs: number;
-  /** Whether other hosts may run that are not known yet. */
+  /** Whether seeds are set: other hosts may run that are not known yet. */
   readonly hasSeeds: boolean;
   readonly tables: Tables;
   readonly tableSource: PeerTableSource;
@@ -52,58 +52,55 @@
 }
 
 /**
- * From the suspicion until a host counts as lost, and from then until it is
- * forgotten, in ms. Callers are sent to neither; both are asked now and then.
+ * The times from suspicion until a host counts as lost, and from then until it
+ * is removed, in ms. Suspected and lost hosts get no callers but are still
+ * probed.
  */
-const TIMES = {lostAfterMs: 3000, forgetAfterMs: 60_000};
-/** Fresh changes of hosts are gathered for so long, in ms. */
-const FRESH_DELAY_MS = 20;
+const TIMEOUTS = {lostAfterMs: 3000, forgetAfterMs: 60_000};
+/** How long urgent host updates are batched, in ms. */
+const UPDATE_BATCH_MS = 20;
 /**
- * The least time between two rounds of notices, in ms. It bounds what a host
- * sends while many hosts change at once: 38 notices a second in place of 150.
+ * The minimum time between two rounds of updates, in ms. It limits what a host
+ * sends while many hosts change at once: to 38 messages per second instead of
+ * 150.
  */
-const FRESH_EVERY_MS = 80;
+const MIN_UPDATE_INTERVAL_MS = 80;
 /**
- * Messages from hosts that know other records than this one, one after
- * another, after which a whole list is asked for: one host may be behind.
+ * The number of consecutive messages with differing host records after which
+ * the full host list is loaded. A few are tolerated, as one host may lag
+ * behind.
  */
-const MAX_UNLIKE = 8;
+const MAX_DIFFERING = 8;
 /**
- * The least time between two such lists, in ms. Where hosts come and go all the
- * time, records are never alike everywhere, and a list is 50 KB with 195 hosts.
+ * The minimum time between two loads of the full list, in ms. Where hosts come
+ * and go all the time, records always differ, and a list is 50 KB with 195
+ * hosts.
  */
-const LIST_EVERY_MS = 20_000;
+const MIN_LIST_INTERVAL_MS = 20_000;
 
-/** Keeps track of the other hosts. */
+/** Tracks which other hosts are alive, and their states. */
 export class HostTracker {
-  /** Whether this host takes callers; set by the service that knows. */
+  /** Returns this host's state; set by the service that knows it. */
   getState: () => PeerState = () => 'starting';
   readonly standing: StoreStanding;
   readonly loader: PeerTableLoader;
-  private readonly watch: HostWatch<PeerPlace>;
+  private readonly detector: HostWatch<PeerPlace>;
   private readonly reports = new ReaderReports();
-  private readonly suspension = new SuspensionWatch();
+  private readonly suspensionDetector = new SuspensionWatch();
   private readonly closing = new AbortController();
-  private isFreshPlanned = false;
-  private freshAt = -Infinity;
-  /** Messages in a row whose sender knows other records. */
-  private unlike = 0;
-  private listAskedAt = -Infinity;
-  /** What other hosts were last heard to have, by name. */
-  private readonly heard = new Map<string, LastHeard>();
+  private isUpdatePlanned = false;
+  private updatesSentAt = -Infinity;
+  /** Consecutive messages whose sender's host records differ. */
+  private differingCount = 0;
+  private listLoadedAt = -Infinity;
+  /** The last revisions received from each host, by name. */
+  private readonly lastHeard = new Map<string, LastHeard>();
 
   constructor(
     private readonly parts: HostTrackerParts,
     private readonly send: SendToHosts,
   ) {
-    const {
-      name,
-      incarnation,
-      place,
-      heartbeatMs: beatMs,
-      clock,
-      random,
-    } = parts;
+    const {name, incarnation, place, heartbeatMs, clock, random} = parts;
     const {tables, tableSource, log} = parts;
     const record: HostRecord = {
       name,
@@ -112,11 +109,11 @@
       state: 'starting',
       isStoreAway: false,
     };
-    this.watch = new HostWatch(
+    this.detector = new HostWatch(
       record,
       place,
-      TIMES,
-      beatMs,
+      TIMEOUTS,
+      heartbeatMs,
       random,
       hashRecord,
     );
@@ -126,35 +123,35 @@
       clock,
       log,
       (changes) => {
-        this.watch.acceptList(changes, clock.getNow());
-        this.planFresh();
+        this.detector.acceptList(changes, clock.getNow());
+        this.planUpdate();
       },
     );
     this.standing = new StoreStanding(this.view, tables, this.reports);
   }
 
-  /** The other hosts as this one knows them. */
+  /** What this host knows of the other hosts. */
   get view(): HostView<PeerPlace> {
-    return this.watch.view;
+    return this.detector.view;
   }
 
-  /** Whether any other host was heard of late. */
+  /** Whether any other host was heard from recently. */
   hasHeardAny(now: number): boolean {
-    return this.watch.hasHeardAny(now);
+    return this.detector.hasHeardAny(now);
   }
 
-  /** Lists the hosts that are believed to be alive, this one first. */
+  /** Lists the hosts that are considered alive, this one first. */
   listAlive(): AliveHost[] {
     const own = {record: this.view.ownRecord, place: this.parts.place};
     const others = this.view.listAlive();
     return [own, ...others.map(({record, place}) => ({record, place}))];
   }
 
-  /** Lists all hosts that are not forgotten, those with faults first. */
+  /** Lists all known hosts, those with faults first. */
   listHostSummaries(now: number): HostSummary[] {
     const {view, standing, loader} = this;
     const readers = standing.listReaders();
-    const show = (
+    const createSummary = (
       record: HostRecord,
       about: Pick<HostSummary, 'failureDomain' | 'standing'>,
       heard: LastHeard | undefined,
@@ -174,54 +171,58 @@
     const {failureDomain} = this.parts.place;
     const own = {revisions: loader.listRevisions(), at: now};
     const hosts = [
-      show(view.ownRecord, {failureDomain, standing: 'alive'}, own),
+      createSummary(view.ownRecord, {failureDomain, standing: 'alive'}, own),
     ];
     for (const {record, place, standing: believed} of view.listKnown()) {
       const about = {failureDomain: place.failureDomain, standing: believed};
-      hosts.push(show(record, about, this.heard.get(record.name)));
+      hosts.push(createSummary(record, about, this.lastHeard.get(record.name)));
     }
     return sortHostSummaries(hosts);
   }
 
-  /** Does what is due in a beat. */
+  /** Does the work of one heartbeat. */
   startHeartbeat(now: number): void {
-    this.updateOwn(now);
+    this.updateOwnRecord(now);
     this.standing.updateReading(this.isAlone);
-    this.sendWatch(this.watch.startBeat(now), now);
-    for (const host of this.watch.takeSilent()) {
-      this.parts.log.writeInfo('A host does not answer.', {host});
+    this.sendGossip(this.detector.startBeat(now), now);
+    for (const host of this.detector.takeSilent()) {
+      this.parts.log.writeInfo('Host is suspected: it does not answer.', {
+        host,
+      });
     }
     for (const host of this.view.dropLost(now)) {
-      this.suspension.drop(host);
-      this.heard.delete(host);
-      this.parts.log.writeInfo('A host was silent for long.', {host});
+      this.suspensionDetector.drop(host);
+      this.lastHeard.delete(host);
+      this.parts.log.writeInfo('Host removed: it was silent for too long.', {
+        host,
+      });
     }
-    this.planFresh();
+    this.planUpdate();
     this.loader.loadNewer(now);
   }
 
-  /** Tells some other hosts at once how this one stands now. */
+  /** Sends this host's state to some other hosts at once. */
   publishState(): void {
     const now = this.parts.clock.getNow();
-    this.updateOwn(now);
-    this.sendWatch(this.watch.startNotices(), now);
+    this.updateOwnRecord(now);
+    this.sendGossip(this.detector.startNotices(), now);
   }
 
-  /** Takes a message of another host. */
+  /** Handles a gossip message of another host. */
   accept({watch, revisions, reports, sentAt}: WatchDatagram): void {
     const {name, incarnation} = watch.sender;
     if (name === this.parts.name) return;
-    this.checkClock(name, incarnation, sentAt);
+    this.checkSuspension(name, incarnation, sentAt);
     const now = this.parts.clock.getNow();
-    const sent = this.watch.accept(watch, now);
+    const sent = this.detector.accept(watch, now);
     for (const report of reports) {
       if (report.name !== this.parts.name) this.reports.accept(report, now);
     }
-    this.sendWatch(sent, now);
-    this.planFresh();
+    this.sendGossip(sent, now);
+    this.planUpdate();
     const sender = this.view.find(name);
     if (sender === undefined) return;
-    this.heard.set(name, {revisions, at: now});
+    this.lastHeard.set(name, {revisions, at: now});
     this.loader.markRevisions(revisions, sender.place.tables, now);
     this.compareRecords(watch.recordsHash, sender.place.tables, now);
   }
@@ -231,13 +232,21 @@
     this.loader.close();
   }
 
-  /** What is known here is older than it looks if the machine was suspended. */
-  private checkClock(host: string, incarnation: number, theirMs: number): void {
+  /**
+   * Detects by the sender's clock whether this machine was suspended. If so,
+   * what this host knows is older than its own clock shows, and the clock is
+   * corrected.
+   */
+  private checkSuspension(
+    host: string,
+    incarnation: number,
+    theirMs: number,
+  ): void {
     const {clock, log} = this.parts;
     const ownMs = clock.getSteadyNow();
     const wallMs = clock.getWallNow();
     const reading = {host, incarnation, theirMs, ownMs, wallMs};
-    const ms = this.suspension.accept(reading);
+    const ms = this.suspensionDetector.accept(reading);
     if (ms === 0) return;
     clock.addSuspension(ms);
     log.writeWarning('This machine was suspended.', {ms: Math.round(ms)});
@@ -247,30 +256,30 @@
     return !this.parts.hasSeeds && this.view.countKnown() === 0;
   }
 
-  private updateOwn(now: number): void {
+  private updateOwnRecord(now: number): void {
     const isStoreAway = this.standing.isAway(now);
-    this.watch.updateOwn({state: this.getState(), isStoreAway});
+    this.detector.updateOwn({state: this.getState(), isStoreAway});
   }
 
-  /** Tells of fresh changes in a moment. */
-  private planFresh(): void {
-    if (!this.watch.isFresh || this.isFreshPlanned) return;
-    this.isFreshPlanned = true;
-    void this.sendFresh();
+  /** Schedules a message with urgent host updates. */
+  private planUpdate(): void {
+    if (!this.detector.isFresh || this.isUpdatePlanned) return;
+    this.isUpdatePlanned = true;
+    void this.sendUpdates();
   }
 
-  private async sendFresh(): Promise<void> {
+  private async sendUpdates(): Promise<void> {
     const {clock} = this.parts;
     const {signal} = this.closing;
-    const waitMs = this.freshAt + FRESH_EVERY_MS - clock.getNow();
-    await clock.wait(Math.max(FRESH_DELAY_MS, waitMs), signal);
+    const waitMs = this.updatesSentAt + MIN_UPDATE_INTERVAL_MS - clock.getNow();
+    await clock.wait(Math.max(UPDATE_BATCH_MS, waitMs), signal);
     if (signal.aborted) return;
-    this.isFreshPlanned = false;
-    this.freshAt = clock.getNow();
-    this.sendWatch(this.watch.startNotices(), this.freshAt);
+    this.isUpdatePlanned = false;
+    this.updatesSentAt = clock.getNow();
+    this.sendGossip(this.detector.startNotices(), this.updatesSentAt);
   }
 
-  private sendWatch(sent: OutgoingWatch<PeerPlace>[], now: number): void {
+  private sendGossip(sent: OutgoingWatch<PeerPlace>[], now: number): void {
     if (sent.length === 0) return;
     const revisions = this.loader.listRevisions();
     const own = this.standing.createReport(this.view.ownRecord, now);
@@ -282,13 +291,13 @@
     }
   }
 
-  /** Asks for a whole list when others have long known other records. */
+  /** Loads the full host list if other hosts' records differ for long. */
   private compareRecords(hash: number, tables: string, now: number): void {
-    const isLike = hash === this.view.recordsHash;
-    this.unlike = isLike ? 0 : this.unlike + 1;
-    if (this.unlike < MAX_UNLIKE || this.watch.isFresh) return;
-    if (now - this.listAskedAt < LIST_EVERY_MS) return;
-    this.listAskedAt = now;
+    const isSame = hash === this.view.recordsHash;
+    this.differingCount = isSame ? 0 : this.differingCount + 1;
+    if (this.differingCount < MAX_DIFFERING || this.detector.isFresh) return;
+    if (now - this.listLoadedAt < MIN_LIST_INTERVAL_MS) return;
+    this.listLoadedAt = now;
     void this.loader.loadAll(tables);
   }
 }
--- a/packages/gateway/src/services/peer_hosts.ts
+++ b/packages/gateway/src/services/peer_hosts.ts
@@ -1,7 +1,7 @@
 /**
- * The other hosts, and what hosts tell each other by datagrams: that they are
- * there (`host_tracker.ts`), changes of the tables (`news_spreader.ts`), and
- * what they have running (`use_notices.ts`, `use_questions.ts`).
+ * The other hosts and the datagrams exchanged with them: liveness
+ * (`host_tracker.ts`), changes of the tables (`news_spreader.ts`), and what
+ * runs on endpoints (`use_publisher.ts`, `use_queries.ts`).
  */
 import type {KnownHost} from '@irisdock/decisions';
 import {getShuffled} from '@irisdock/kernel';
@@ -33,34 +33,34 @@
 } from './use_publisher.js';
 import {UseQueries} from './use_queries.js';
 
-/** What the peers need of the rest. */
+/** Dependencies of the peers. */
 export interface PeersParts extends Omit<HostTrackerParts, 'hasSeeds'> {
-  /** Where the socket for datagrams is bound, as `ip:port`. */
+  /** The address that the datagram socket binds to, as `ip:port`. */
   readonly listen: string;
   readonly seeds: readonly string[];
   /** The name of the deployment. */
   readonly deployment: string;
   readonly openDatagrams: OpenDatagramPort;
-  /** Counts a datagram that was dropped. */
+  /** Counts a dropped datagram. */
   readonly recordDrop: (reason: DropReason) => void;
 }
 
 /**
- * How long a seed may take to give its tables before the next one is asked, and
- * after the last the store, in ms. One that runs takes a few; one that does not
- * refuses at once, unless its machine is gone.
+ * How long a seed may take to send its tables before the next seed or, after
+ * the last one, the store is asked, in ms. A running seed takes a few ms; a
+ * stopped one refuses the connection at once unless its machine is gone.
  */
-const SEED_MS = 50;
+const SEED_TIMEOUT_MS = 50;
 
-/** Readers of the store that are told of roll-outs; the first may be lost. */
-const TOLD_READERS = 2;
+/** Store readers that get roll-out reports; two, as the first may be lost. */
+const REPORT_READERS = 2;
 
-/** The other hosts. */
+/** Exchanges datagrams with the other hosts and lists them. */
 export class Peers {
   readonly usePublisher: UsePublisher;
   readonly useQueries: UseQueries;
   readonly groups: EngineGroups;
-  /** Who takes what other hosts say of roll-outs, crashes, limits and leases. */
+  /** The handlers of datagrams on roll-outs, crashes, limits and leases. */
   readonly handlers = new DatagramHandlers();
   private readonly tracker: HostTracker;
   private readonly socket: DatagramPort;
@@ -111,19 +111,19 @@
     });
   }
 
-  /** Sets who knows whether this host takes callers. */
+  /** Sets how this host's state is read. */
   set getState(getState: () => PeerState) {
     this.tracker.getState = getState;
   }
 
-  /** Sets who knows what runs here. */
+  /** Sets the registry of what runs on endpoints. */
   set useRegistry(board: UseRegistry) {
     this.usePublisher.registry = board;
     this.useQueries.registry = board;
     this.groups.engines = board;
   }
 
-  /** How this host and the others stand with the store. */
+  /** Which hosts read the store, and whether it is reachable. */
   get standing(): StoreStanding {
     return this.tracker.standing;
   }
@@ -133,12 +133,12 @@
     return this.parts.name;
   }
 
-  /** Where this host can be reached. */
+  /** The addresses and the failure domain of this host. */
   get place(): PeerPlace {
     return this.parts.place;
   }
 
-  /** Starts to listen; resolves when the seeds were asked. */
+  /** Starts to listen; resolves after the seeds were asked. */
   async start(): Promise<void> {
     await this.socket.start(this.parts.listen);
     this.news.start();
@@ -146,44 +146,46 @@
     this.checks.start();
   }
 
-  /** Gives the number of hosts that serve, this one included. */
+  /** Counts the hosts that serve, including this one. */
   countServing(): number {
     return this.tracker.view.listServing().length + 1;
   }
 
-  /** Whether any other host was heard of late. */
+  /** Whether any other host was heard from recently. */
   hasHeardAny(now: number): boolean {
     return this.tracker.hasHeardAny(now);
   }
 
-  /** Lists where callers may be sent, this host among them if it takes them. */
+  /** Lists the hosts that serve callers, including this one if it is ready. */
   listServing(): PeerPlace[] {
     const places = this.tracker.view.listServing().map(({place}) => place);
     if (this.tracker.getState() === 'ready') places.push(this.place);
     return places;
   }
 
-  /** Lists the hosts that are believed to be alive, this one first. */
+  /** Lists the hosts that are considered alive, this one first. */
   listAlive(): AliveHost[] {
     return this.tracker.listAlive();
   }
 
-  /** Lists all hosts for operators, those with faults first. */
+  /** Lists all known hosts for operators, those with faults first. */
   listHostSummaries(now: number): HostSummary[] {
     return this.tracker.listHostSummaries(now);
   }
 
-  /** Lists the names of the hosts that take or took requests, this one too. */
+  /** Lists the names of live hosts that are ready or leaving. */
   listActiveNames(): string[] {
     return this.listNames((state) => state !== 'starting');
   }
 
-  /** Lists the names of the hosts that take callers and stay, this one too. */
+  /** Lists the names of live hosts that are ready, and not leaving. */
   listReadyNames(): string[] {
     return this.listNames((state) => state === 'ready');
   }
 
-  /** Counts the hosts that may live and stay, also those not heard of late. */
+  /**
+   * Counts the hosts that may be alive, also suspected ones, but not leaving.
+   */
   countPossiblyAlive(): number {
     let count = 1;
     for (const {record} of this.tracker.view.listKnown()) {
@@ -192,28 +194,28 @@
     return count;
   }
 
-  /** Differs whenever what is known of the hosts that are alive does. */
+  /** Changes whenever the records of the live hosts do. */
   get recordsHash(): number {
     return this.tracker.view.recordsHash;
   }
 
-  /** Whether this host is the first of those that read the store. */
+  /** Whether this host is the first store reader. */
   get isFirstReader(): boolean {
     return this.standing.listReaders()[0] === this.parts.name;
   }
 
-  /** Sends to all other hosts that are believed to be alive. */
+  /** Sends to all other hosts that are considered alive. */
   sendToAll(datagram: PeerDatagram): void {
     this.sendTo(this.tracker.view.listAlive(), datagram);
   }
 
-  /** Sends to the hosts that read the store, but for this one. */
+  /** Sends to the first store readers, except this host. */
   sendToReaders(datagram: PeerDatagram): void {
-    const readers = this.standing.listReaders().slice(0, TOLD_READERS);
+    const readers = this.standing.listReaders().slice(0, REPORT_READERS);
     this.sendToNames(readers, datagram);
   }
 
-  /** Sends to hosts by name, as far as they are known. */
+  /** Sends to hosts by name; unknown hosts are skipped. */
   sendToNames(names: readonly string[], datagram: PeerDatagram): void {
     const hosts: KnownHost<PeerPlace>[] = [];
     for (const name of names) {
@@ -223,18 +225,18 @@
     this.sendTo(hosts, datagram);
   }
 
-  /** Asks a host of which this one was told elsewhere for all it knows. */
+  /** Loads all tables from a host unless that host is known already. */
   async loadFrom(tables: string): Promise<void> {
     const isKnown = this.listAlive().some(({place}) => place.tables === tables);
     if (!isKnown) await this.tracker.loader.loadAll(tables);
   }
 
-  /** Takes where some other hosts answer hosts; may be old. */
+  /** Sets the addresses of some other hosts; they may be outdated. */
   setSeeds(seeds: readonly string[]): void {
     this.seeds.setSeeds(seeds);
   }
 
-  /** Does what is due in a beat. */
+  /** Does the work of one heartbeat. */
   runHeartbeat(): void {
     this.tracker.startHeartbeat(this.parts.clock.getNow());
     this.usePublisher.startHeartbeat();
@@ -244,7 +246,7 @@
     if (seed !== undefined) void this.tracker.loader.loadAll(seed);
   }
 
-  /** Tells some other hosts at once how this one stands now. */
+  /** Sends this host's state to some other hosts at once. */
   publishState(): void {
     this.tracker.publishState();
   }
@@ -258,15 +260,15 @@
   }
 
   /**
-   * Asks the seeds for the tables before the store is read: where other hosts
-   * run, a host that starts needs no call to the store.
+   * Asks the seeds for the tables before the store is read, so a host that
+   * starts beside running ones makes no call to the store.
    */
   private async loadFromSeeds(): Promise<void> {
     const {seeds, place, clock, random} = this.parts;
     const {loader, standing} = this.tracker;
     for (const seed of getShuffled(seeds, random)) {
       if (seed === place.tables) continue;
-      await Promise.race([loader.loadAll(seed), clock.wait(SEED_MS)]);
+      await Promise.race([loader.loadAll(seed), clock.wait(SEED_TIMEOUT_MS)]);
       if (standing.hasTables) return;
     }
   }
@@ -292,7 +294,7 @@
     const decoded = decodePeerDatagram(payload);
     if (decoded.isErr()) {
       const fault = decoded.error;
-      this.parts.log.writeWarning('A datagram cannot be read.', {fault});
+      this.parts.log.writeWarning('Failed to decode a datagram.', {fault});
       return;
     }
     this.acceptDatagram(decoded.value);
--- a/packages/gateway/src/services/seed_schedule.ts
+++ b/packages/gateway/src/services/seed_schedule.ts
@@ -1,51 +1,54 @@
 /**
- * When a host asks its seeds for what they know. That some host is heard is
- * not enough: hosts that start at the same time may form groups that each know
- * only themselves. So a seed that is not known is asked now and then, at first
- * often, later seldom, as it may be gone for good.
+ * Decides when a host asks its seeds for the hosts that they know. Knowing some
+ * other host is not enough: hosts that start at the same time may form groups
+ * that each know only themselves. So unknown seeds are asked again, with
+ * exponential backoff, as they may be gone for good.
  */
 import {getShuffled, type Random} from '@irisdock/kernel';
 
-/** Beats between two tries while nobody is known. */
-const FIRST_PAUSE = 5;
-/** The most beats between two tries of seeds that do not answer. */
-const MAX_PAUSE = 80;
+/** Heartbeats between two attempts while no other host is known. */
+const MIN_INTERVAL = 5;
+/** The maximum number of heartbeats between two attempts. */
+const MAX_INTERVAL = 80;
 
-/** The tries. */
+/** Chooses which seed is asked in which heartbeat. */
 export class SeedSchedule {
-  private beat = 0;
-  /** The beat at which a seed is tried next. */
-  private nextBeat = 1;
-  private pause = FIRST_PAUSE;
+  private heartbeat = 0;
+  /** The heartbeat in which a seed is asked next. */
+  private nextHeartbeat = 1;
+  private interval = MIN_INTERVAL;
 
   constructor(
     private readonly random: Random,
     private seeds: readonly string[],
   ) {}
 
-  /** Takes other seeds, and tries one at once. */
+  /** Replaces the seeds; one of them is asked in the next heartbeat. */
   setSeeds(seeds: readonly string[]): void {
     this.seeds = seeds;
-    this.pause = FIRST_PAUSE;
-    this.nextBeat = this.beat;
+    this.interval = MIN_INTERVAL;
+    this.nextHeartbeat = this.heartbeat;
   }
 
   /**
-   * Gives the seed that is asked in this beat, if any.
+   * Chooses the seed to ask in this heartbeat, if any.
    *
-   * @param known Where the hosts that are known answer, this one's included.
+   * @param known The addresses of the known hosts, including this one.
    */
   chooseNext(known: readonly string[]): string | undefined {
-    this.beat++;
+    this.heartbeat++;
     const isAlone = known.length <= 1;
-    if (isAlone) this.pause = FIRST_PAUSE;
-    this.nextBeat = Math.min(this.nextBeat, this.beat + this.pause);
-    if (this.beat < this.nextBeat) return undefined;
+    if (isAlone) this.interval = MIN_INTERVAL;
+    this.nextHeartbeat = Math.min(
+      this.nextHeartbeat,
+      this.heartbeat + this.interval,
+    );
+    if (this.heartbeat < this.nextHeartbeat) return undefined;
     const unknown = this.seeds.filter((seed) => !known.includes(seed));
     const [seed] = getShuffled(unknown, this.random);
     if (seed === undefined) return undefined;
-    this.nextBeat = this.beat + this.pause;
-    this.pause = Math.min(MAX_PAUSE, this.pause * 2);
+    this.nextHeartbeat = this.heartbeat + this.interval;
+    this.interval = Math.min(MAX_INTERVAL, this.interval * 2);
     return seed;
   }
 }
--- a/packages/gateway/tests/seed_schedule.test.ts
+++ b/packages/gateway/tests/seed_schedule.test.ts
@@ -1,37 +1,37 @@
-/** When a host asks its seeds. */
+/** Tests in which heartbeats a host asks its seeds. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {SeedSchedule} from '@irisdock/gateway';
 import {SeededRandom} from '@irisdock/kernel';
 
-function countTries(
-  tries: SeedSchedule,
+function countAttempts(
+  schedule: SeedSchedule,
   known: readonly string[],
-  beats: number,
+  heartbeats: number,
 ): number {
   let count = 0;
-  for (let beat = 0; beat < beats; beat++) {
-    if (tries.chooseNext(known) !== undefined) count++;
+  for (let heartbeat = 0; heartbeat < heartbeats; heartbeat++) {
+    if (schedule.chooseNext(known) !== undefined) count++;
   }
   return count;
 }
 
-describe('the tries of seeds', () => {
-  it('begin at once and go on while nobody is known', () => {
-    const tries = new SeedSchedule(new SeededRandom(1), ['s1', 's2']);
-    assert.notEqual(tries.chooseNext(['own']), undefined);
-    assert.equal(countTries(tries, ['own'], 100), 20);
+describe('the seed schedule', () => {
+  it('asks a seed at once and keeps asking while no host is known', () => {
+    const schedule = new SeedSchedule(new SeededRandom(1), ['s1', 's2']);
+    assert.notEqual(schedule.chooseNext(['own']), undefined);
+    assert.equal(countAttempts(schedule, ['own'], 100), 20);
   });
 
-  it('get seldom while some hosts are known and a seed is not', () => {
-    const tries = new SeedSchedule(new SeededRandom(1), ['s1']);
-    assert.equal(countTries(tries, ['own', 'other'], 400), 9);
+  it('asks less often while some hosts are known but a seed is not', () => {
+    const schedule = new SeedSchedule(new SeededRandom(1), ['s1']);
+    assert.equal(countAttempts(schedule, ['own', 'other'], 400), 9);
   });
 
-  it('end when all seeds are known, and begin again with new ones', () => {
-    const tries = new SeedSchedule(new SeededRandom(1), ['s1']);
-    assert.equal(countTries(tries, ['own', 's1'], 200), 0);
-    tries.setSeeds(['s2']);
-    assert.equal(tries.chooseNext(['own', 's1']), 's2');
+  it('asks no known seed, and asks a new one at once', () => {
+    const schedule = new SeedSchedule(new SeededRandom(1), ['s1']);
+    assert.equal(countAttempts(schedule, ['own', 's1'], 200), 0);
+    schedule.setSeeds(['s2']);
+    assert.equal(schedule.chooseNext(['own', 's1']), 's2');
   });
 });
