--- a/packages/gateway/src/services/configuration.ts
+++ b/packages/gateway/src/services/configuration.ts
@@ -1,6 +1,6 @@
 /**
- * The service `configuration`: the routes, services, teams and limits in
- * force on this host. Within the life of a process it only goes forward.
+ * The service `configuration`: the routes, services, teams and limits in force
+ * on this host. A process never goes back to an earlier version.
  */
 import {RouteTable, type ReplicaRow} from '@irisdock/decisions';
 import {createService, createServiceKey, type Logger} from '@irisdock/kernel';
@@ -19,7 +19,7 @@
 /** The row that holds the configuration. */
 export const CONFIGURATION_ROW = 'config';
 
-/** Bounds on callers until a configuration gives others. */
+/** The limits on callers before the first configuration. */
 const DEFAULT_LIMITS: CallerLimits = {
   maxHeaderBytes: 16_384,
   maxBodyBytes: 4_194_304,
@@ -27,30 +27,30 @@
   idleTimeoutMs: 15_000,
 };
 
-/** Which team a key belongs to. */
+/** The result of finding the team of an API key. */
 export type TeamLookup =
   | {readonly kind: 'known'; readonly team: string}
   | {readonly kind: 'none-needed'}
   | {readonly kind: 'unknown'};
 
-/** The configuration in force. */
+/** Holds the configuration in force. */
 export class GatewayConfiguration {
   private current: ServingConfiguration | undefined;
   private routes = new RouteTable<ServingRoute>([]);
   private services = new Map<string, ServingService>();
-  private teams: Map<string, string> | undefined;
+  private teamsByKey: Map<string, string> | undefined;
 
   constructor(
     private readonly codec: RowCodec<ServingConfiguration>,
     private readonly log: Logger,
   ) {}
 
-  /** Whether any configuration is known. */
+  /** Whether any configuration is loaded. */
   get isLoaded(): boolean {
     return this.current !== undefined;
   }
 
-  /** The version in force; 0 before the first. */
+  /** The version in force; 0 before the first configuration. */
   get version(): number {
     return this.current?.version ?? 0;
   }
@@ -59,18 +59,18 @@
     return this.current?.limits ?? DEFAULT_LIMITS;
   }
 
-  /** Takes the rows of the table. */
+  /** Applies changed rows of the table. */
   applyRows(rows: readonly ReplicaRow[]): void {
     for (const {key, value} of rows) {
       if (key !== CONFIGURATION_ROW) continue;
       if (value !== undefined) this.applyText(value);
-      else this.log.writeWarning('The configuration was deleted; kept.', {});
+      else this.log.writeWarning('Configuration row deleted; ignored.', {});
     }
   }
 
   /** Finds the route of a request. */
-  findRoute(hostLine: string, path: string): ServingRoute | undefined {
-    return this.routes.find(hostLine, path);
+  findRoute(hostHeader: string, path: string): ServingRoute | undefined {
+    return this.routes.find(hostHeader, path);
   }
 
   /** Finds a service. */
@@ -78,7 +78,7 @@
     return this.services.get(name);
   }
 
-  /** Whether a service is declared, or any route leads to it. */
+  /** Whether a service is declared or any route leads to it. */
   hasService(name: string): boolean {
     if (this.services.has(name)) return true;
     for (const {shares} of this.current?.routes ?? []) {
@@ -96,10 +96,10 @@
     return names;
   }
 
-  /** Tells whose key it is; public routes need none. */
+  /** Finds the team of a key; public routes need none. */
   findTeam(key: string | undefined, route: ServingRoute): TeamLookup {
-    if (this.teams === undefined) return {kind: 'none-needed'};
-    const team = key === undefined ? undefined : this.teams.get(key);
+    if (this.teamsByKey === undefined) return {kind: 'none-needed'};
+    const team = key === undefined ? undefined : this.teamsByKey.get(key);
     if (team !== undefined) return {kind: 'known', team};
     return {kind: route.isPublic ? 'none-needed' : 'unknown'};
   }
@@ -108,7 +108,7 @@
     const decoded = this.codec.decode(CONFIGURATION_ROW, text);
     if (decoded.isErr()) {
       this.log.writeError(
-        'A configuration cannot be read; the old one stays.',
+        'Failed to decode a configuration; the last one stays in force.',
         {
           fault: decoded.error,
           version: this.version,
@@ -118,26 +118,29 @@
     }
     const next = decoded.value;
     if (next.version <= this.version) return;
-    this.log.writeInfo('A configuration is in force.', {
+    this.log.writeInfo('Configuration applied.', {
       version: next.version,
       before: this.version,
       routes: next.routes.length,
     });
     this.current = next;
     this.routes = new RouteTable(next.routes);
-    this.services = new Map(next.services.map((s) => [s.name, s]));
-    this.teams = next.teams === undefined ? undefined : listKeys(next.teams);
+    this.services = new Map(
+      next.services.map((service) => [service.name, service]),
+    );
+    this.teamsByKey =
+      next.teams === undefined ? undefined : createTeamsByKey(next.teams);
   }
 }
 
-function listKeys(
+function createTeamsByKey(
   teams: NonNullable<ServingConfiguration['teams']>,
 ): Map<string, string> {
-  const byKey = new Map<string, string>();
+  const teamsByKey = new Map<string, string>();
   for (const {name, keys} of teams) {
-    for (const key of keys) byKey.set(key, name);
+    for (const key of keys) teamsByKey.set(key, name);
   }
-  return byKey;
+  return teamsByKey;
 }
 
 /** The key of the service. */
--- a/packages/gateway/src/services/crash_pages.ts
+++ b/packages/gateway/src/services/crash_pages.ts
@@ -1,6 +1,6 @@
 /**
- * What operators see of contents that end endpoints, and how they take one off
- * the list: `GET /v1/crashes` and `DELETE /v1/crashes/<content>`.
+ * The operators' list of request contents that crash endpoints, from which they
+ * may remove one: `GET /v1/crashes` and `DELETE /v1/crashes/<content>`.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Clock, KnownError, Logger} from '@irisdock/kernel';
@@ -9,17 +9,17 @@
 import {sendJson} from './json_response.js';
 
 const PATH = '/v1/crashes';
-/** Names who asks, for the log. */
+/** Identifies the operator, for the log. */
 const ACTOR_HEADER = 'x-irisdock-actor';
 
-/** What the pages show and change. */
+/** Dependencies of the pages. */
 export interface CrashPagesParts {
   readonly crashes: CrashRecords;
   readonly clock: Clock;
   readonly log: Logger;
 }
 
-/** Answers a request for these pages; false when it is for another one. */
+/** Answers a request for these pages; returns false for any other request. */
 export function handleCrashPages(
   message: IncomingMessage,
   response: ServerResponse,
@@ -39,7 +39,7 @@
     return true;
   }
   const actor = String(message.headers[ACTOR_HEADER] ?? 'unknown');
-  log.writeInfo('An operator took a content off the list.', {content, actor});
+  log.writeInfo('An operator removed a content.', {content, actor});
   crashes.dropContent(content, `removed by ${actor}`);
   sendJson(response, 200, {content});
   return true;
--- a/packages/gateway/src/services/crash_publisher.ts
+++ b/packages/gateway/src/services/crash_publisher.ts
@@ -1,67 +1,67 @@
 /**
- * Tells all hosts at once of crashes, as the same request may come again
- * anywhere a moment later; and once more, as a datagram may be lost.
+ * Informs all hosts of crashes at once, as a caller may repeat the request on
+ * any host right away. Each message is sent twice, as a datagram may be lost.
  */
 import type {Crash} from '@irisdock/decisions';
 import type {PeerDatagram} from '../model/peer_message.js';
 import {DelayedTasks} from './delayed_tasks.js';
 
 /**
- * Crashes are gathered for so long, in ms: what ran on one endpoint is lost
- * together.
+ * How long crashes are batched, in ms: all requests that ran on one endpoint
+ * fail together.
  */
-const GATHER_MS = 5;
-/** After so long they are told once more, in ms. */
+const BATCH_DELAY_MS = 5;
+/** The delay before a message is sent again, in ms. */
 const REPEAT_MS = 700;
-/** Crashes in one datagram; one takes some 60 bytes. */
+/** The maximum number of crashes in one datagram; one takes some 60 bytes. */
 const MAX_PER_DATAGRAM = 16;
 
-/** Tells hosts. */
+/** Sends crashes and their clearing to all hosts. */
 export class CrashPublisher {
-  private gathered: Crash[] = [];
-  private readonly later = new DelayedTasks();
+  private batch: Crash[] = [];
+  private readonly tasks = new DelayedTasks();
 
   constructor(private readonly sendToAll: (datagram: PeerDatagram) => void) {}
 
   /**
-   * Tells of a crash.
+   * Sends a crash.
    *
-   * @param isUrgent Whether it is told at once.
+   * @param isUrgent Whether it is sent at once instead of in a batch.
    */
   publishCrash(crash: Crash, isUrgent: boolean): void {
     if (isUrgent) {
       this.sendTwice([crash]);
       return;
     }
-    this.gathered.push(crash);
-    if (this.gathered.length > 1) return;
-    this.later.plan(GATHER_MS, () => {
-      const crashes = this.gathered;
-      this.gathered = [];
+    this.batch.push(crash);
+    if (this.batch.length > 1) return;
+    this.tasks.plan(BATCH_DELAY_MS, () => {
+      const crashes = this.batch;
+      this.batch = [];
       this.sendTwice(crashes);
     });
   }
 
-  /** Tells that a content ends nothing. */
+  /** Sends that a content does not crash endpoints. */
   publishCleared(content: string): void {
     this.sendToAll({kind: 'cleared', content});
-    this.later.plan(REPEAT_MS, () => {
+    this.tasks.plan(REPEAT_MS, () => {
       this.sendToAll({kind: 'cleared', content});
     });
   }
 
   close(): void {
-    this.later.close();
+    this.tasks.close();
   }
 
   private sendTwice(crashes: readonly Crash[]): void {
-    this.sendParts(crashes);
-    this.later.plan(REPEAT_MS, () => {
-      this.sendParts(crashes);
+    this.sendBatches(crashes);
+    this.tasks.plan(REPEAT_MS, () => {
+      this.sendBatches(crashes);
     });
   }
 
-  private sendParts(crashes: readonly Crash[]): void {
+  private sendBatches(crashes: readonly Crash[]): void {
     for (let from = 0; from < crashes.length; from += MAX_PER_DATAGRAM) {
       const part = crashes.slice(from, from + MAX_PER_DATAGRAM);
       this.sendToAll({kind: 'crashes', crashes: part});
--- a/packages/gateway/src/services/crash_row_index.ts
+++ b/packages/gateway/src/services/crash_row_index.ts
@@ -1,18 +1,18 @@
-/** The rows of crashes in the store's table, by content. */
+/** An index of the rows in the store's table of crashes, by content. */
 import type {Crash, ReplicaRow} from '@irisdock/decisions';
 import {parseCrashKey} from '../model/crash_row.js';
 
-/** A row that was written or taken out. */
+/** A row that was written or deleted. */
 export interface CrashRow {
   readonly crash: Crash;
   readonly isPresent: boolean;
 }
 
-/** Finds rows without a look at all of them. */
+/** Finds the rows of a content without a scan of all rows. */
 export class CrashRowIndex {
   private readonly keys = new Map<string, Set<string>>();
 
-  /** Takes rows; gives those that are crashes. */
+  /** Applies changed rows; returns those whose keys are valid. */
   apply(rows: readonly ReplicaRow[]): CrashRow[] {
     const found: CrashRow[] = [];
     for (const {key, value} of rows) {
--- a/packages/gateway/src/services/crash_store.ts
+++ b/packages/gateway/src/services/crash_store.ts
@@ -1,23 +1,22 @@
 /**
- * Keeps crashes in the store, so that they last when all hosts are lost, and
- * reach hosts that start later. What could not be written is tried again until
- * the store takes it.
+ * Writes crashes to the store, so that they survive the loss of all hosts and
+ * reach hosts that start later. Failed writes are retried until they succeed.
  */
 import type {Crash} from '@irisdock/decisions';
 import type {Clock, Logger} from '@irisdock/kernel';
 import {formatCrashKey, formatCrashNote} from '../model/crash_row.js';
 import type {RowChange, WatchedStore} from '../model/watched_table.js';
 
-/** The least time between two calls of one host, in ms; bounds their rate. */
-const PAUSE_MS = 100;
-/** The time after a failed call, in ms. */
+/** The minimum time between two calls of one host to the store, in ms. */
+const MIN_CALL_INTERVAL_MS = 100;
+/** The retry delay after a failed call, in ms. */
 const RETRY_MS = 300;
-/** Rows in one call; the store takes a hundred. */
+/** The maximum number of rows in one call; the store accepts 100. */
 const MAX_ROWS = 50;
-/** Rows that wait while the store is away; the oldest give way. */
-const MAX_WAITING = 1000;
+/** The maximum number of rows that wait; the oldest are evicted. */
+const MAX_PENDING = 1000;
 
-/** What keeping crashes needs of the rest. */
+/** Dependencies of the crash store. */
 export interface CrashStoreParts {
   readonly host: string;
   readonly store: WatchedStore;
@@ -25,14 +24,14 @@
   readonly log: Logger;
   /** Whether the store is known to have a row. */
   readonly hasRow: (key: string) => boolean;
-  /** Lists the keys of the rows of a content that the store has. */
+  /** Lists the keys of a content's rows in the store. */
   readonly listKeys: (content: string) => readonly string[];
 }
 
-/** Writes and deletes rows. */
+/** Writes and deletes the rows of crashes. */
 export class CrashStore {
-  /** Values by key; undefined for a row that is to be deleted. */
-  private readonly waiting = new Map<string, string | undefined>();
+  /** Values to write by key; undefined for a row to delete. */
+  private readonly pending = new Map<string, string | undefined>();
   private readonly controller = new AbortController();
   private running: Promise<void> | undefined;
 
@@ -44,7 +43,7 @@
     const note = formatCrashNote({host, at: clock.getWallNow()});
     for (const crash of crashes) {
       const key = formatCrashKey(crash);
-      if (this.waiting.get(key) === undefined && !hasRow(key)) {
+      if (this.pending.get(key) === undefined && !hasRow(key)) {
         this.put(key, note);
       }
     }
@@ -54,8 +53,8 @@
   /** Deletes the rows of a content. */
   deleteCrashes(content: string): void {
     const prefix = `${content}/`;
-    for (const key of [...this.waiting.keys()]) {
-      if (key.startsWith(prefix)) this.waiting.delete(key);
+    for (const key of [...this.pending.keys()]) {
+      if (key.startsWith(prefix)) this.pending.delete(key);
     }
     for (const key of this.parts.listKeys(content)) this.put(key, undefined);
     this.start();
@@ -67,20 +66,20 @@
   }
 
   private put(key: string, value: string | undefined): void {
-    this.waiting.set(key, value);
-    if (this.waiting.size <= MAX_WAITING) return;
-    const [oldest = ''] = this.waiting.keys();
-    this.waiting.delete(oldest);
-    this.parts.log.writeWarning('A crash is not kept: too many wait.', {
+    this.pending.set(key, value);
+    if (this.pending.size <= MAX_PENDING) return;
+    const [oldest = ''] = this.pending.keys();
+    this.pending.delete(oldest);
+    this.parts.log.writeWarning('Dropped a crash: too many wait to be saved.', {
       key: oldest,
     });
   }
 
   private start(): void {
-    if (this.waiting.size === 0) return;
+    if (this.pending.size === 0) return;
     this.running ??= this.run().finally(() => {
       this.running = undefined;
-      // What came after the last look at what waits.
+      // Rows may have been added after the loop had ended.
       if (!this.controller.signal.aborted) this.start();
     });
   }
@@ -88,33 +87,33 @@
   private async run(): Promise<void> {
     const {clock} = this.parts;
     const {signal} = this.controller;
-    while (this.waiting.size > 0 && !signal.aborted) {
-      const pauseMs = await this.writeSome();
+    while (this.pending.size > 0 && !signal.aborted) {
+      const pauseMs = await this.writeBatch();
       await clock.wait(pauseMs, signal);
     }
   }
 
-  /** Makes one call; gives the least time to the next. */
-  private async writeSome(): Promise<number> {
+  /** Makes one call; returns the minimum delay before the next one, in ms. */
+  private async writeBatch(): Promise<number> {
     const changes: RowChange[] = [];
-    for (const [key, value] of this.waiting) {
+    for (const [key, value] of this.pending) {
       if (changes.length === MAX_ROWS) break;
       changes.push({key, value});
     }
     const result = await this.parts.store.writeAll('crashes', changes);
     if (result.isErr()) {
       const {kind} = result.error;
-      const {size: waiting} = this.waiting;
-      this.parts.log.writeWarning('Crashes could not be kept yet.', {
+      const {size: waiting} = this.pending;
+      this.parts.log.writeWarning('Failed to save crashes; retrying.', {
         kind,
         waiting,
       });
       return RETRY_MS;
     }
     for (const {key, value} of changes) {
-      // It may have changed while the call was under way.
-      if (this.waiting.get(key) === value) this.waiting.delete(key);
+      // The value may have changed while the call was under way.
+      if (this.pending.get(key) === value) this.pending.delete(key);
     }
-    return PAUSE_MS;
+    return MIN_CALL_INTERVAL_MS;
   }
 }
--- a/packages/gateway/src/services/crashes.ts
+++ b/packages/gateway/src/services/crashes.ts
@@ -1,6 +1,6 @@
 /**
- * The service `crashes`: which contents end the endpoints that run them.
- * docs/design/crashing_requests.md.
+ * The service `crashes`: which request contents crash the endpoints they run
+ * on. docs/design/crashing_requests.md.
  */
 import {CrashLedger, type ReplicaRow} from '@irisdock/decisions';
 import {createService, createServiceKey} from '@irisdock/kernel';
@@ -18,16 +18,16 @@
 /** The key of the service. */
 export const CRASHES = createServiceKey<CrashRecords>('crashes');
 
-/** How often it is looked for what is to be forgotten, in ms. */
+/** The interval between removals of expired crashes, in ms. */
 const SWEEP_MS = 5000;
-/** Contents that are remembered; some 2 MB with six crashes each. */
+/** The maximum number of contents; some 2 MB with six crashes each. */
 const MAX_CONTENTS = 5000;
 
 const SETTINGS = z.object({
   keepSeconds: z.coerce.number().min(1).default(600).meta({
     unit: 's',
     description:
-      'For how long after its last crash a request that ended endpoints is remembered.',
+      'How long after its last crash a request that crashed endpoints is remembered.',
   }),
 });
 
@@ -43,11 +43,11 @@
     const keepMs = settings.keepSeconds * 1000;
     const ledger = new CrashLedger({keepMs, maxContents: MAX_CONTENTS});
     const api = new CrashRecords({ledger, clock, log});
-    const notices = new CrashPublisher((datagram) => {
+    const publisher = new CrashPublisher((datagram) => {
       peers.sendToAll(datagram);
     });
     const index = new CrashRowIndex();
-    const kept = new CrashStore({
+    const store = new CrashStore({
       host: context.find(HOST_IDENTITY).name,
       store: context.find(STORE),
       clock,
@@ -57,16 +57,16 @@
     });
     api.spreader = {
       publishCrash: (crash, isUrgent) => {
-        notices.publishCrash(crash, isUrgent);
+        publisher.publishCrash(crash, isUrgent);
       },
       publishCleared: (content) => {
-        notices.publishCleared(content);
+        publisher.publishCleared(content);
       },
       saveCrashes: (crashes) => {
-        kept.saveCrashes(crashes);
+        store.saveCrashes(crashes);
       },
       deleteCrashes: (content) => {
-        kept.deleteCrashes(content);
+        store.deleteCrashes(content);
       },
     };
     peers.handlers.crashes = api;
@@ -75,20 +75,20 @@
       applyRows(rows, index, api);
     });
     void table.restored.observe(() => {
-      if (peers.isFirstReader) kept.saveCrashes(index.listCrashes());
+      if (peers.isFirstReader) store.saveCrashes(index.listCrashes());
     });
     createGauge(api, metrics);
     const timer = setInterval(() => {
       api.dropExpired();
-      if (peers.isFirstReader) deleteForgotten(index, api, kept);
+      if (peers.isFirstReader) deleteForgotten(index, api, store);
     }, SWEEP_MS);
     timer.unref();
     return {
       api,
       async stop() {
         clearInterval(timer);
-        notices.close();
-        await kept.stop();
+        publisher.close();
+        await store.stop();
       },
     };
   },
@@ -105,21 +105,21 @@
   }
 }
 
-/** Deletes what no host remembers; one host does it for all. */
+/** Deletes rows of contents without known crashes; one host does it for all. */
 function deleteForgotten(
   index: CrashRowIndex,
   records: CrashRecords,
-  kept: CrashStore,
+  store: CrashStore,
 ): void {
   for (const content of index.listContents()) {
-    if (records.countCrashes(content) === 0) kept.deleteCrashes(content);
+    if (records.countCrashes(content) === 0) store.deleteCrashes(content);
   }
 }
 
 function createGauge(records: CrashRecords, registry: Registry): void {
   new Gauge({
     name: 'irisdock_gateway_crash_contents',
-    help: 'Contents under which endpoints ended, a count, by what is done.',
+    help: 'Request contents that crashed endpoints, a count, by verdict.',
     labelNames: ['verdict'],
     registers: [registry],
     collect() {
--- a/packages/gateway/src/services/directory.ts
+++ b/packages/gateway/src/services/directory.ts
@@ -1,6 +1,6 @@
 /**
- * The service `directory`: tells callers which hosts to use, and whoever asks
- * whether this host takes callers.
+ * The service `directory`: answers callers which hosts to use, and readiness
+ * checks of this host.
  */
 import {createServer, type ServerResponse} from 'node:http';
 import {chooseHosts, type AnswerSize} from '@irisdock/decisions';
@@ -19,9 +19,9 @@
 export const DIRECTORY = createServiceKey<undefined>('directory');
 
 /**
- * How many hosts callers are told of. Callers draw one of them for each
- * connection, so one in eight or so goes to another failure domain than their
- * own; a deployment of up to 16 hosts is told whole.
+ * The number of hosts in an answer. Callers choose one of them at random for
+ * each connection, so about one in eight connections goes to another failure
+ * domain. A deployment of up to 16 hosts is listed completely.
  */
 const ANSWER_SIZE: AnswerSize = {most: 64, leastFar: 5, least: 16};
 
@@ -32,7 +32,7 @@
   }),
   readinessListen: IP_PORT_SCHEMA.meta({
     unit: 'ip:port',
-    description: 'Where this host is asked whether it takes callers.',
+    description: 'Where this host answers whether it is ready for callers.',
   }),
   keepSeconds: z.coerce.number().min(0.1).default(1).meta({
     unit: 's',
@@ -57,25 +57,25 @@
       const hosts = chooseHosts(serving, domain, ANSWER_SIZE, random);
       const addresses = hosts.map(({callers}) => callers);
       if (addresses.length === 0) {
-        endWith(response, 503, '');
+        sendBody(response, 503, '');
         return;
       }
       const body = codecs.encodeAddresses(addresses, keepSeconds);
-      endWith(response, 200, body);
+      sendBody(response, 200, body);
     };
     const answerReadiness = (response: ServerResponse): void => {
-      endWith(response, phase.state === 'ready' ? 200 : 503, '');
+      sendBody(response, phase.state === 'ready' ? 200 : 503, '');
     };
     const server = createServer((message, response) => {
       const [path, query = ''] = (message.url ?? '/').split('?');
       if (path === codecs.paths.addresses) answerAddresses(response, query);
       else if (path === codecs.paths.readiness) answerReadiness(response);
-      else endWith(response, 404, '');
+      else sendBody(response, 404, '');
     });
     const readiness = createServer((message, response) => {
       const path = (message.url ?? '/').split('?')[0];
       if (path === codecs.paths.readiness) answerReadiness(response);
-      else endWith(response, 404, '');
+      else sendBody(response, 404, '');
     });
     return {
       api: undefined,
@@ -91,9 +91,9 @@
         peers.getState = () => phase.state;
       },
       stop() {
-        for (const one of [server, readiness]) {
-          one.close();
-          one.closeAllConnections();
+        for (const httpServer of [server, readiness]) {
+          httpServer.close();
+          httpServer.closeAllConnections();
         }
         return Promise.resolve();
       },
@@ -101,7 +101,11 @@
   },
 });
 
-function endWith(response: ServerResponse, status: number, body: string): void {
+function sendBody(
+  response: ServerResponse,
+  status: number,
+  body: string,
+): void {
   response.writeHead(status, {
     'content-type': 'application/json',
     'content-length': Buffer.byteLength(body),
--- a/packages/gateway/src/services/front.ts
+++ b/packages/gateway/src/services/front.ts
@@ -1,4 +1,4 @@
-/** The service `front`: takes the requests of callers. */
+/** The service `front`: the HTTP server for callers. */
 import {createServer, type Server} from 'node:http';
 import type {WindowedBudgetOptions} from '@irisdock/decisions';
 import {
@@ -34,15 +34,18 @@
 import {RUN_LEASES} from './run_leases.js';
 import {CODECS} from './store.js';
 
-/** Callers may still hold this host's address for so long, in ms. */
-const LINGER_MS = 3500;
-/** Stays clear of the moment at which the process is killed, in ms. */
-const GRACE_MARGIN_MS = 600;
-const DRAIN_STEP_MS = 50;
-/** The longest time for a whole request to arrive, in ms. */
-const REQUEST_MS = 60_000;
-/** Repeated sends stay this much below the bound, as windows slide. */
-const USED_BUDGET_PART = 0.8;
+/** How long callers may still use this host's address during a stop, in ms. */
+const ADDRESS_LINGER_MS = 3500;
+/** How long before the process is killed the drain ends, in ms. */
+const KILL_MARGIN_MS = 600;
+/** The interval between checks for requests in flight during a drain, in ms. */
+const DRAIN_CHECK_MS = 50;
+/** The maximum time for a whole request to arrive, in ms. */
+const REQUEST_TIMEOUT_MS = 60_000;
+/**
+ * The used fraction of the retry budget; the rest is slack for sliding windows.
+ */
+const USED_BUDGET_FRACTION = 0.8;
 
 /** The key of the service. */
 export const FRONT = createServiceKey<undefined>('front');
@@ -50,19 +53,20 @@
 const SETTINGS = z.object({
   listen: IP_PORT_SCHEMA.meta({
     unit: 'ip:port',
-    description: 'Where this host takes callers.',
+    description: 'Where this host listens for callers.',
   }),
   retryRatio: z.coerce.number().min(0).default(0.2).meta({
     unit: 'sends/request',
-    description: 'Repeated sends for each request, over all hosts.',
+    description: 'Retries per request, over all hosts.',
   }),
   retryAllowance: z.coerce.number().min(0).default(20).meta({
     unit: 'sends',
-    description: 'Repeated sends in a window whatever the requests, all hosts.',
+    description:
+      'Retries in a window whatever the number of requests, over all hosts.',
   }),
   retryWindowSeconds: z.coerce.number().min(1).default(10).meta({
     unit: 's',
-    description: 'The window in which repeated sends are counted.',
+    description: 'The window in which retries are counted.',
   }),
 });
 
@@ -101,14 +105,14 @@
         .handle(exchange)
         .catch((thrown: unknown) => {
           const error = getErrorText(thrown);
-          log.writeError('A request failed inside.', {error});
+          log.writeError('A request failed with an internal error.', {error});
           response.destroy();
         })
         .finally(() => {
           inFlight--;
         });
     });
-    server.requestTimeout = REQUEST_MS;
+    server.requestTimeout = REQUEST_TIMEOUT_MS;
     server.on('connection', (socket) => socket.setNoDelay(true));
     return {
       api: undefined,
@@ -227,13 +231,13 @@
     windowMs: settings.retryWindowSeconds * 1000,
     ratio: settings.retryRatio,
     allowance: settings.retryAllowance,
-    usedPart: USED_BUDGET_PART,
+    usedPart: USED_BUDGET_FRACTION,
   };
 }
 
 /**
- * Serves on while callers may still hold the address, then until the last
- * request has ended or the time is over.
+ * Waits while callers may still use the address, then until the last request
+ * has ended or the grace period is over.
  */
 async function waitDrained(
   server: Server,
@@ -241,11 +245,11 @@
   clock: Clock,
   countInFlight: () => number,
 ): Promise<void> {
-  const mostMs = phase.graceMs - GRACE_MARGIN_MS;
-  while (phase.leavingMs < mostMs) {
-    const isOver = phase.leavingMs >= LINGER_MS;
-    if (isOver && countInFlight() === 0) return;
-    if (isOver) server.closeIdleConnections();
-    await clock.wait(DRAIN_STEP_MS);
+  const maxMs = phase.graceMs - KILL_MARGIN_MS;
+  while (phase.leavingMs < maxMs) {
+    const hasLingered = phase.leavingMs >= ADDRESS_LINGER_MS;
+    if (hasLingered && countInFlight() === 0) return;
+    if (hasLingered) server.closeIdleConnections();
+    await clock.wait(DRAIN_CHECK_MS);
   }
 }
--- a/packages/gateway/src/services/peer_discovery.ts
+++ b/packages/gateway/src/services/peer_discovery.ts
@@ -1,10 +1,11 @@
 /**
- * The service `introduction`: how hosts find each other when their seeds do not
- * answer. The few hosts that read the store also write their place into it; a
- * host that hears nobody for a while after its start reads those places. From
- * then on the hosts tell each other. Each call to the store costs, so a host
- * whose seeds answer makes none. A planned stop takes the row out; the row of a
- * host that was lost stays until the host with that name writes it again.
+ * The service `introduction`: lets hosts discover each other through the store
+ * when their seeds do not answer. The few hosts that read the store also write
+ * their addresses into it. A host that hears from no other for a while after
+ * its start reads these addresses; from then on gossip spreads the hosts. Calls
+ * to the store are costly, so a host whose seeds answer makes none. A planned
+ * stop deletes the row; the row of a lost host stays until a host with that
+ * name writes it again.
  */
 import {
   createService,
@@ -21,22 +22,22 @@
 import {STORE} from './store.js';
 import {TABLES_KEY} from '../tables/tables.js';
 
-/** The time between two looks, in ms; a host that is known has nothing to do. */
-const LOOK_MS = 1000;
+/** The time between two checks, in ms; most find nothing to do. */
+const CHECK_INTERVAL_MS = 1000;
 /**
- * How long a host listens after its start before it turns to the store, in ms:
- * seeds answer within some beats.
+ * How long a host listens after its start before it calls the store, in ms;
+ * seeds answer within a few heartbeats.
  */
-const LISTEN_MS = 1000;
-/** The time between two reads of the places while nobody is heard, in ms. */
-const READ_AGAIN_MS = 2000;
+const LISTEN_AT_START_MS = 1000;
+/** The time between two reads while no other host is heard from, in ms. */
+const READ_INTERVAL_MS = 2000;
 
 const ROW_SCHEMA = z.object({tables: z.string()});
 
-/** Introduces one host. */
+/** Registers this host in the store and finds the others there. */
 class PeerDiscovery {
   private readonly startedAt: number;
-  private isWritten = false;
+  private isRegistered = false;
   private readAt = -Infinity;
 
   constructor(
@@ -49,28 +50,28 @@
     this.startedAt = clock.getNow();
   }
 
-  /** Makes this host register again: the store may have lost the row. */
-  markLost(): void {
-    this.isWritten = false;
+  /** Makes this host register again, as the store may have lost the row. */
+  markUnregistered(): void {
+    this.isRegistered = false;
   }
 
-  /** Does what is due. */
+  /** Registers this host and reads the others if either is due. */
   async step(): Promise<void> {
     const now = this.clock.getNow();
-    if (now - this.startedAt < LISTEN_MS) return;
-    if (!this.isWritten && this.peers.standing.isReading) {
-      this.isWritten = await this.registerHost();
-      // Another group of hosts may have its own readers: of two that each
-      // write and then read, one finds the other.
+    if (now - this.startedAt < LISTEN_AT_START_MS) return;
+    if (!this.isRegistered && this.peers.standing.isReading) {
+      this.isRegistered = await this.registerHost();
+      // Another group of hosts may have its own readers. As each writes before
+      // it reads, at least one of two finds the other.
       await this.readOthers();
     }
-    const isDue = now - this.readAt >= READ_AGAIN_MS;
+    const isDue = now - this.readAt >= READ_INTERVAL_MS;
     if (isDue && !this.peers.hasHeardAny(now)) await this.readOthers();
   }
 
   /** Deletes this host's registration. */
   async remove(): Promise<void> {
-    if (!this.isWritten) return;
+    if (!this.isRegistered) return;
     const result = await this.store.delete('hosts', this.hostName);
     if (result.isOk()) return;
     const {kind} = result.error;
@@ -95,7 +96,9 @@
       if (key === this.hostName || value === undefined) continue;
       const tables = parseRow(value);
       if (tables === undefined) {
-        this.log.writeWarning('A row of a host cannot be read.', {host: key});
+        this.log.writeWarning("Failed to decode a host's registration.", {
+          host: key,
+        });
         continue;
       }
       void this.peers.loadFrom(tables);
@@ -120,7 +123,7 @@
   settings: z.object({}),
   needs: [HOST_IDENTITY, PEERS, STORE, TABLES_KEY],
   create(context) {
-    const introduction = new PeerDiscovery(
+    const discovery = new PeerDiscovery(
       context.find(STORE),
       context.find(PEERS),
       context.find(HOST_IDENTITY).name,
@@ -128,21 +131,21 @@
       context.log,
     );
     void context.find(TABLES_KEY).configuration.restored.observe(() => {
-      introduction.markLost();
+      discovery.markUnregistered();
     });
-    const tries = new Repeater(
-      (signal) => context.clock.wait(LOOK_MS, signal),
-      () => introduction.step(),
+    const repeater = new Repeater(
+      (signal) => context.clock.wait(CHECK_INTERVAL_MS, signal),
+      () => discovery.step(),
       context.log,
     );
     return {
       api: undefined,
       start() {
-        tries.start();
+        repeater.start();
         return Promise.resolve();
       },
-      drain: () => introduction.remove(),
-      stop: () => tries.stop(),
+      drain: () => discovery.remove(),
+      stop: () => repeater.stop(),
     };
   },
 });
--- a/packages/gateway/src/services/rollout_decider.ts
+++ b/packages/gateway/src/services/rollout_decider.ts
@@ -1,8 +1,8 @@
 /**
- * Decides on roll-outs for all hosts. It runs on every host and acts on the one
- * that reads the store first in line; when two do so at once, the condition of
- * the store's write lets one of them set how a roll-out ended, and the other
- * takes that over.
+ * Decides the phases of roll-outs for all hosts. It exists on every host and is
+ * active on the first store reader. When two hosts are active at the same time,
+ * a conditional write lets only one of them set how a roll-out ended; the other
+ * adopts that.
  */
 import {decideNextPhase, type RolloutPhase} from '@irisdock/decisions';
 import type {Clock, Logger} from '@irisdock/kernel';
@@ -11,7 +11,7 @@
 import type {RolloutState} from '../serving/rollout_state.js';
 import type {Rollouts, RolloutsParts} from '../serving/rollouts.js';
 
-/** What the decider needs of the rest. */
+/** Dependencies of the decider. */
 export interface RolloutDeciderParts {
   readonly rollouts: Rollouts;
   readonly bounds: RolloutsParts['bounds'];
@@ -21,38 +21,38 @@
   readonly log: Logger;
   /** Lists the names of the hosts that serve. */
   readonly listHosts: () => readonly string[];
-  /** Tells all hosts the phase. */
+  /** Sends the phase to all hosts. */
   readonly publishPhase: (state: RolloutState) => void;
 }
 
-/** The phase of a host that reads how a roll-out stands. */
-const PHASES: Readonly<Record<RolloutOutcome, RolloutPhase>> = {
+/** The phase that follows from a status in the store. */
+const STATUS_PHASES: Readonly<Record<RolloutOutcome, RolloutPhase>> = {
   running: 'trial',
   completed: 'completed',
   'rolled-back': 'rolled-back',
 };
 
-interface WrittenStatus {
+interface StoredStatus {
   readonly outcome: RolloutOutcome | undefined;
   /** The revision of the row; 0 when there is none. */
   readonly revision: number;
 }
 
-/** Decides. */
+/** Decides the next phase of a roll-out and writes its status. */
 export class RolloutDecider {
-  /** What the store holds of each roll-out, as far as it is known here. */
-  private readonly written = new Map<RolloutState, WrittenStatus>();
+  /** The last known status of each roll-out in the store. */
+  private readonly statuses = new Map<RolloutState, StoredStatus>();
 
   constructor(private readonly parts: RolloutDeciderParts) {}
 
-  /** Forgets which statuses are written: the store may have lost them. */
+  /** Drops the cached statuses: the store may have lost them. */
   dropStatuses(): void {
-    this.written.clear();
+    this.statuses.clear();
   }
 
-  /** Does what is due for one roll-out. */
+  /** Decides and writes the next phase of one roll-out. */
   async step(state: RolloutState): Promise<void> {
-    const written = this.written.get(state) ?? (await this.readStatus(state));
+    const written = this.statuses.get(state) ?? (await this.readStatus(state));
     if (written === undefined) return;
     if (state.phase === 'announced') {
       if (await this.writeStatus(state, 'running')) {
@@ -61,11 +61,12 @@
       return;
     }
     const next = decideNextPhase(this.createView(state));
-    // Old endpoints stop as soon as the operator reads of the end.
+    // Written before the phase is applied: the old endpoints are stopped as soon
+    // as the operator reads this status.
     const isEnd = next === 'completed' && state.phase !== 'completed';
     if (isEnd && !(await this.writeStatus(state, 'completed'))) return;
     if (next !== state.phase) this.applyPhase(state, next);
-    // Repeated after the end, as a restored store may have lost it.
+    // Written again after the end, as a restored store may have lost it.
     if (state.phase === 'completed' || state.phase === 'rolled-back') {
       await this.writeStatus(state, state.phase);
     }
@@ -82,7 +83,7 @@
   private applyPhase(state: RolloutState, phase: RolloutPhase): void {
     if (!state.setPhase(phase)) return;
     const {verdict, trialSends, requests} = this.createView(state);
-    this.parts.log.writeInfo('A roll-out was decided on.', {
+    this.parts.log.writeInfo('Roll-out phase changed.', {
       service: state.order.service,
       version: state.order.version,
       phase,
@@ -94,42 +95,43 @@
     this.parts.publishPhase(state);
   }
 
-  /** Reads how the store says it stands; undefined when it did not answer. */
+  /** Reads the status from the store; undefined when the read failed. */
   private async readStatus(
     state: RolloutState,
-  ): Promise<WrittenStatus | undefined> {
+  ): Promise<StoredStatus | undefined> {
     const {store, codec} = this.parts;
     const rows = await store.readAll('rollouts');
     if (rows.isErr()) return undefined;
     const key = codec.formatStatusKey(state.order.service);
-    const row = rows.value.rows.find((one) => one.key === key);
+    const row = rows.value.rows.find((candidate) => candidate.key === key);
     const revision = row?.revision ?? 0;
     const status =
       row?.value === undefined ? undefined : codec.decodeStatus(row.value);
-    // What was written before the order is of an earlier one.
+    // A status with a lower revision than the order belongs to an earlier
+    // order.
     const isOfOrder =
       revision > state.revision && status?.version === state.order.version;
     const outcome = isOfOrder ? status.outcome : undefined;
     const written = {outcome, revision};
-    this.written.set(state, written);
-    if (outcome !== undefined) this.applyPhase(state, PHASES[outcome]);
+    this.statuses.set(state, written);
+    if (outcome !== undefined) this.applyPhase(state, STATUS_PHASES[outcome]);
     return written;
   }
 
-  /** Writes how it stands; false when it is not known to be written. */
+  /** Writes the status; returns false when the write is not confirmed. */
   private async writeStatus(
     state: RolloutState,
     outcome: RolloutOutcome,
   ): Promise<boolean> {
     const {store, codec, log} = this.parts;
-    const written = this.written.get(state);
+    const written = this.statuses.get(state);
     if (written?.outcome === outcome) return true;
     if (written === undefined) return false;
     const {service, version} = state.order;
     const key = codec.formatStatusKey(service);
     const value = codec.encodeStatus(service, {outcome, version});
-    // What it becomes is read again before anything else is written.
-    this.written.delete(state);
+    // Dropped so that the status is read again before the next write.
+    this.statuses.delete(state);
     const result = await store.writeIf(
       'rollouts',
       key,
@@ -138,14 +140,14 @@
     );
     if (result.isErr()) {
       const {kind} = result.error;
-      log.writeWarning('How a roll-out stands could not be written.', {
+      log.writeWarning('Failed to write a roll-out status.', {
         service,
         outcome,
         kind,
       });
       return false;
     }
-    log.writeInfo('How a roll-out stands was written.', {service, outcome});
+    log.writeInfo('Roll-out status written.', {service, outcome});
     const now = await this.readStatus(state);
     return now === undefined || now.outcome === outcome;
   }
--- a/packages/gateway/src/services/rollout_runner.ts
+++ b/packages/gateway/src/services/rollout_runner.ts
@@ -1,7 +1,7 @@
 /**
- * What a host does while roll-outs are under way: it tells those that decide
- * what it saw, decides itself when it is the first of them, and takes the
- * phase from whoever did. Without a roll-out it does nothing at all.
+ * Runs a host's part in roll-outs: reports its counts to the hosts that decide,
+ * decides itself when it is the first store reader, and applies the phases that
+ * other hosts decided. It is idle without a roll-out.
  */
 import type {Clock, Logger} from '@irisdock/kernel';
 import {getErrorText} from '@irisdock/kernel';
@@ -17,16 +17,19 @@
 /** The time between two steps, in ms. */
 const STEP_MS = 150;
 /**
- * The time between two reports of a host, in ms, and for each host: the two that
- * take them get some hundred a second at most, however many hosts there are.
+ * The time between two reports of a host, in ms, and its increase per host: the
+ * two receivers get at most some 100 reports per second with any number of
+ * hosts.
  */
-const REPORT_MS = 450;
-const REPORT_MS_PER_HOST = 10;
-/** How long the end of a roll-out is told again, and how often, in ms. */
-const TELL_MS = 10_000;
-const TELL_EVERY_MS = 1000;
+const REPORT_INTERVAL_MS = 450;
+const REPORT_INTERVAL_MS_PER_HOST = 10;
+/**
+ * How long, and at what interval, the end of a roll-out is sent again, in ms.
+ */
+const END_REPEAT_MS = 10_000;
+const REPEAT_MS = 1000;
 
-/** What the runner needs of the rest. */
+/** Dependencies of the runner. */
 export interface RolloutRunnerParts {
   readonly name: string;
   readonly incarnation: number;
@@ -37,19 +40,21 @@
   readonly log: Logger;
 }
 
-/** Runs while there are roll-outs. */
+/** Reports, decides and publishes phases while there are roll-outs. */
 export class RolloutRunner {
   private readonly controller = new AbortController();
   private running: Promise<void> | undefined;
   private sequence = 0;
   private reportedAt = -Infinity;
-  private readonly toldAt = new Map<RolloutState, number>();
-  private readonly overAt = new Map<RolloutState, number>();
+  private readonly publishedAt = new Map<RolloutState, number>();
+  private readonly endedAt = new Map<RolloutState, number>();
   private readonly sequences = new Map<string, readonly [number, number]>();
 
   constructor(private readonly parts: RolloutRunnerParts) {}
 
-  /** Runs from now on until all roll-outs are over. */
+  /**
+   * Starts the loop if it is not running; it ends when all roll-outs are over.
+   */
   start(): void {
     this.running ??= this.run().finally(() => {
       this.running = undefined;
@@ -64,21 +69,21 @@
   /** Writes the status of ended roll-outs again after a restore. */
   handleRestored(): void {
     this.parts.decider.dropStatuses();
-    this.overAt.clear();
+    this.endedAt.clear();
     this.start();
   }
 
-  /** Tells at once what changed here. */
+  /** Sends a report without delay after a change on this host. */
   handleChange(): void {
     this.reportedAt = -Infinity;
     this.start();
   }
 
-  /** Takes what another host saw. */
+  /** Handles the reports of another host. */
   acceptReport(datagram: RolloutReportDatagram): void {
     const {name, incarnation, sequence, reports} = datagram;
-    const [life, last] = this.sequences.get(name) ?? [0, 0];
-    if (incarnation === life && sequence <= last) return;
+    const [lastIncarnation, lastSequence] = this.sequences.get(name) ?? [0, 0];
+    if (incarnation === lastIncarnation && sequence <= lastSequence) return;
     this.sequences.set(name, [incarnation, sequence]);
     for (const report of reports) {
       const state = this.parts.rollouts.find(report.service);
@@ -87,12 +92,12 @@
       if (state.setPhase(report.phase)) {
         this.parts.rollouts.handleAdvanced(state);
       }
-      // A host that started after the end would else never hear of it.
+      // A host that started after the end does not learn of it otherwise.
       if (report.phase !== state.phase) this.publishPhase(state, [name]);
     }
   }
 
-  /** Takes the phase that another host decided on. */
+  /** Applies the phase that another host decided. */
   acceptPhase({service, revision, phase}: RolloutPhaseDatagram): void {
     const state = this.parts.rollouts.find(service);
     if (state?.revision !== revision || !state.setPhase(phase)) return;
@@ -100,9 +105,9 @@
   }
 
   /**
-   * Tells hosts the phase.
+   * Sends the phase to hosts.
    *
-   * @param names The hosts; all when it is left out.
+   * @param names The receivers; all hosts by default.
    */
   publishPhase(
     {order, revision, phase}: RolloutState,
@@ -122,7 +127,7 @@
       try {
         await this.step();
       } catch (thrown) {
-        log.writeError('A step of a roll-out failed.', {
+        log.writeError('A roll-out step failed.', {
           error: getErrorText(thrown),
         });
       }
@@ -130,14 +135,14 @@
     }
   }
 
-  /** Whether any roll-out is not over, or its end is still told. */
+  /** Whether any roll-out is not over or its end is still being sent. */
   private hasWork(): boolean {
     const now = this.parts.clock.getNow();
     for (const state of this.parts.rollouts.listStates()) {
       if (!state.isOver) return true;
-      const overAt = this.overAt.get(state) ?? now;
-      this.overAt.set(state, overAt);
-      if (now - overAt < TELL_MS) return true;
+      const endedAt = this.endedAt.get(state) ?? now;
+      this.endedAt.set(state, endedAt);
+      if (now - endedAt < END_REPEAT_MS) return true;
     }
     return false;
   }
@@ -161,8 +166,9 @@
       rollouts.find(report.service)?.addReport(name, report);
     }
     const now = clock.getNow();
-    const everyMs = REPORT_MS + REPORT_MS_PER_HOST * peers.countServing();
-    if (now - this.reportedAt < everyMs) return;
+    const intervalMs =
+      REPORT_INTERVAL_MS + REPORT_INTERVAL_MS_PER_HOST * peers.countServing();
+    if (now - this.reportedAt < intervalMs) return;
     this.reportedAt = now;
     this.sequence++;
     const {sequence} = this;
@@ -175,11 +181,11 @@
     });
   }
 
-  /** Tells the phase again, as a datagram may be lost or a host start late. */
+  /** Sends the phase again: a datagram may be lost, or a host start late. */
   private publishAgain(state: RolloutState): void {
     const now = this.parts.clock.getNow();
-    if (now - (this.toldAt.get(state) ?? -Infinity) < TELL_EVERY_MS) return;
-    this.toldAt.set(state, now);
+    if (now - (this.publishedAt.get(state) ?? -Infinity) < REPEAT_MS) return;
+    this.publishedAt.set(state, now);
     this.publishPhase(state);
   }
 }
--- a/packages/gateway/src/services/rollouts.ts
+++ b/packages/gateway/src/services/rollouts.ts
@@ -1,6 +1,6 @@
 /**
- * The service `rollouts`: moves services to endpoints of another version when
- * operators order it. docs/design/rollouts.md.
+ * The service `rollouts`: moves services to endpoints of another version on an
+ * operator's order. docs/design/rollouts.md.
  */
 import type {ReplicaRow} from '@irisdock/decisions';
 import {createService, createServiceKey, type Logger} from '@irisdock/kernel';
@@ -23,11 +23,11 @@
   exposureShare: z.coerce.number().min(0).max(1).default(0.1).meta({
     unit: 'part',
     description:
-      'The part of the requests in the time of an order that a bad version may get.',
+      'The share of the requests during an order that a bad version may get.',
   }),
   exposureSlack: z.coerce.number().min(0).default(50).meta({
     unit: 'requests',
-    description: 'Requests that a bad version may get beyond that.',
+    description: 'Requests that a bad version may get beyond that share.',
   }),
 });
 
@@ -96,7 +96,7 @@
   },
 });
 
-/** What is done with rows of the table in which orders stand. */
+/** Dependencies of applying the rows with orders. */
 interface OrderParts {
   readonly codec: RolloutCodec;
   readonly rollouts: Rollouts;
@@ -119,13 +119,13 @@
     return;
   }
   const fault = order.error;
-  log.writeWarning('An order of a roll-out cannot be read.', {key, fault});
+  log.writeWarning('Failed to decode a roll-out order.', {key, fault});
 }
 
 function createGauge(rollouts: Rollouts, registry: Registry): void {
   new Gauge({
     name: 'irisdock_gateway_rollouts',
-    help: 'Roll-outs that are known, a count, by phase.',
+    help: 'Known roll-outs, a count, by phase.',
     labelNames: ['phase'],
     registers: [registry],
     collect() {
--- a/packages/gateway/src/services/run_lease_client.ts
+++ b/packages/gateway/src/services/run_lease_client.ts
@@ -1,6 +1,6 @@
 /**
- * Acquires leases on runs of suspected contents from their issuers, and renews
- * them while the runs last. docs/design/crashing_requests.md.
+ * Acquires leases on runs of suspected contents from their issuers and renews
+ * them during the runs. docs/design/crashing_requests.md.
  */
 import type {Clock} from '@irisdock/kernel';
 import type {
@@ -20,13 +20,15 @@
 import {PeerRequests} from './peer_requests.js';
 import type {RunLeaseIssuer} from './run_lease_issuer.js';
 
-/** The time between two renewals, in ms; two may be lost. */
-const RENEW_MS = 450;
-/** The time to the next request when the issuer did not answer, in ms. */
-const SILENT_WAIT_MS = 50;
 /**
- * A run whose issuer did not answer for so long starts without a lease, in ms: the
- * issuer may be lost, and most contents that wait here ended nothing.
+ * The time between two renewals, in ms; two may be lost before a lease expires.
+ */
+const RENEW_INTERVAL_MS = 450;
+/** The retry delay when the issuer did not answer, in ms. */
+const RETRY_DELAY_MS = 50;
+/**
+ * How long the issuer may be silent before a run starts without a lease, in ms.
+ * The issuer may be lost, and most of the contents that wait crashed nothing.
  */
 const MAX_SILENCE_MS = 500;
 
@@ -38,18 +40,18 @@
   readonly clock: Clock;
 }
 
-/** Acquires leases. */
+/** Acquires, renews and releases the leases of this host's runs. */
 export class RunLeaseClient implements RunLeases, LeaseDatagramHandler {
-  private readonly questions: PeerRequests<
+  private readonly requests: PeerRequests<
     LeaseAskDatagram,
     LeaseAnswerDatagram
   >;
-  private lastRun = 0;
+  private lastRunNumber = 0;
 
   constructor(private readonly parts: RunLeaseClientParts) {
     const {clock, peers} = parts;
-    this.questions = new PeerRequests(clock, (to, ask) => {
-      peers.sendToNames([to], ask);
+    this.requests = new PeerRequests(clock, (to, request) => {
+      peers.sendToNames([to], request);
     });
   }
 
@@ -71,7 +73,7 @@
       }
       if (answer !== undefined) answeredAt = now;
       if (now - answeredAt >= MAX_SILENCE_MS) break;
-      const waitMs = answer?.waitMs ?? SILENT_WAIT_MS;
+      const waitMs = answer?.waitMs ?? RETRY_DELAY_MS;
       if (now + waitMs - startedAt > mostMs) {
         this.release(run);
         return {kind: 'held'};
@@ -82,18 +84,18 @@
     return {kind: 'not-needed'};
   }
 
-  /** Drops what has expired of the leases that this host grants. */
+  /** Removes expired leases among those that this host grants. */
   dropExpired(): void {
     this.parts.issuer.dropExpired();
   }
 
-  acceptLeaseRequest(ask: LeaseAskDatagram): void {
-    const answer = this.parts.issuer.decide(ask);
-    this.parts.peers.sendToNames([ask.name], answer);
+  acceptLeaseRequest(request: LeaseAskDatagram): void {
+    const answer = this.parts.issuer.decide(request);
+    this.parts.peers.sendToNames([request.name], answer);
   }
 
   acceptLeaseAnswer(answer: LeaseAnswerDatagram): void {
-    this.questions.accept(answer);
+    this.requests.accept(answer);
   }
 
   acceptLeaseRelease(end: LeaseEndDatagram): void {
@@ -102,8 +104,8 @@
 
   private createRun(content: string): LeasedRun {
     const {name, incarnation} = this.parts.identity;
-    this.lastRun++;
-    return {content, name, incarnation, run: this.lastRun};
+    this.lastRunNumber++;
+    return {content, name, incarnation, run: this.lastRunNumber};
   }
 
   private async poll(
@@ -113,11 +115,11 @@
     const {issuer, identity} = this.parts;
     const name = issuer.findIssuer(run.content);
     if (name === undefined) return undefined;
-    const createAsk = (number: number): LeaseAskDatagram => {
+    const createRequest = (number: number): LeaseAskDatagram => {
       return {kind: 'lease-ask', ...run, number, isRenewal};
     };
-    if (name === identity.name) return issuer.decide(createAsk(0));
-    return this.questions.poll(name, createAsk);
+    if (name === identity.name) return issuer.decide(createRequest(0));
+    return this.requests.poll(name, createRequest);
   }
 
   private startRenewing(run: LeasedRun): {release: () => void} {
@@ -134,12 +136,12 @@
 
   private async renew(run: LeasedRun, signal: AbortSignal): Promise<void> {
     const {clock} = this.parts;
-    await clock.wait(RENEW_MS, signal);
+    await clock.wait(RENEW_INTERVAL_MS, signal);
     while (!signal.aborted) {
       await this.poll(run, true);
-      await clock.wait(RENEW_MS, signal);
+      await clock.wait(RENEW_INTERVAL_MS, signal);
     }
-    // The last renewal may have arrived after the end of the lease.
+    // A last renewal may have reached the issuer after the first release.
     this.release(run);
   }
 
--- a/packages/gateway/src/services/run_lease_issuer.ts
+++ b/packages/gateway/src/services/run_lease_issuer.ts
@@ -1,7 +1,8 @@
 /**
- * Grants leases on runs of suspected contents. Each content has one issuer among
- * the hosts that are alive, found by hashing. A host that becomes the issuer grants
- * nothing until the holders of earlier leases had time to renew them with it.
+ * Grants leases on runs of suspected contents. Each content has one issuer
+ * among the live hosts, chosen by rendezvous hashing. A host that becomes the
+ * issuer grants no lease until the holders of earlier ones had time to renew
+ * them with it.
  */
 import {RUN_LEASE_MS, RunLeaseTable, sortIssuers} from '@irisdock/decisions';
 import type {Clock} from '@irisdock/kernel';
@@ -21,29 +22,29 @@
   readonly clock: Clock;
 }
 
-/** This host's part in granting leases. */
+/** Grants leases on the contents whose issuer this host is. */
 export class RunLeaseIssuer {
   private readonly table = new RunLeaseTable();
   private recordsHash: number | undefined;
   private names: readonly string[] = [];
-  /** The hosts before the first change within the last lease time. */
+  /** The hosts before the first change within the last lease duration. */
   private earlierNames: readonly string[] = [];
-  private changedAt = -Infinity;
+  private hostsChangedAt = -Infinity;
 
   constructor(private readonly parts: RunLeaseIssuerParts) {}
 
-  /** Finds the issuer of a content; undefined when no host is alive. */
+  /** Finds the issuer of a content; undefined when no host is ready. */
   findIssuer(content: string): string | undefined {
     this.updateHosts();
     return sortIssuers(content, this.names)[0];
   }
 
   /** Answers a request or a renewal. */
-  decide(ask: LeaseAskDatagram): LeaseAnswerDatagram {
+  decide(request: LeaseAskDatagram): LeaseAnswerDatagram {
     const {crashes, clock} = this.parts;
-    const {content, number, isRenewal} = ask;
+    const {content, number, isRenewal} = request;
     const now = clock.getNow();
-    const holder = formatRun(ask);
+    const holder = formatRun(request);
     const {isGranted, waitMs} = this.isGrantable(content, isRenewal, now)
       ? this.table.acquire(content, holder, now)
       : this.table.addWaiter(content, holder, now);
@@ -57,7 +58,7 @@
     this.table.release(run.content, formatRun(run));
   }
 
-  /** Drops what has expired, and learns which hosts there are. */
+  /** Removes expired leases and updates the known hosts. */
   dropExpired(): void {
     this.updateHosts();
     this.table.dropExpired(this.parts.clock.getNow());
@@ -70,7 +71,7 @@
   ): boolean {
     const {ownName} = this.parts;
     if (this.findIssuer(content) !== ownName) return false;
-    if (isRenewal || now - this.changedAt >= RUN_LEASE_MS) return true;
+    if (isRenewal || now - this.hostsChangedAt >= RUN_LEASE_MS) return true;
     return sortIssuers(content, this.earlierNames)[0] === ownName;
   }
 
@@ -81,9 +82,9 @@
     const names = peers.listReadyNames().sort();
     if (names.join() === this.names.join()) return;
     const now = clock.getNow();
-    const before = this.names.length === 0 ? [ownName] : this.names;
-    if (now - this.changedAt >= RUN_LEASE_MS) this.earlierNames = before;
-    this.changedAt = now;
+    const previous = this.names.length === 0 ? [ownName] : this.names;
+    if (now - this.hostsChangedAt >= RUN_LEASE_MS) this.earlierNames = previous;
+    this.hostsChangedAt = now;
     this.names = names;
   }
 }
--- a/packages/gateway/src/services/run_leases.ts
+++ b/packages/gateway/src/services/run_leases.ts
@@ -1,6 +1,6 @@
 /**
- * The service `runLeases`: at most one run at a time of a content that is
- * suspected to end its endpoints, over all hosts.
+ * The service `runLeases`: at most one run at a time, over all hosts, of a
+ * content that is suspected to crash its endpoints.
  */
 import {createService, createServiceKey} from '@irisdock/kernel';
 import * as z from 'zod';
@@ -13,7 +13,7 @@
 /** The key of the service. */
 export const RUN_LEASES = createServiceKey<RunLeaseClient>('runLeases');
 
-/** The time between two sweeps of expired leases, in ms. */
+/** The interval between removals of expired leases, in ms. */
 const SWEEP_MS = 5000;
 
 /** Declares the service. */
