--- a/packages/gateway/src/services/address_index.ts
+++ b/packages/gateway/src/services/address_index.ts
@@ -1,7 +1,7 @@
-/** Finds endpoints by the address that their entries name. */
+/** Finds endpoints by the address in their entries. */
 import type {EndpointRecord} from '../serving/endpoint_record.js';
 
-/** The index; several endpoints may name one address. */
+/** Maps addresses to endpoints; several endpoints may have the same address. */
 export class AddressIndex {
   private readonly records = new Map<string, Set<EndpointRecord>>();
 
@@ -19,7 +19,7 @@
     if (known?.size === 0) this.records.delete(address);
   }
 
-  /** Lists the endpoints that name an address. */
+  /** Lists the endpoints with an address. */
   list(address: string): EndpointRecord[] {
     return [...(this.records.get(address) ?? [])];
   }
--- a/packages/gateway/src/services/delayed_tasks.ts
+++ b/packages/gateway/src/services/delayed_tasks.ts
@@ -1,17 +1,17 @@
-/** Steps that are done later, and not at all once they are given up. */
+/** Runs tasks after a delay unless they are cancelled before. */
 export class DelayedTasks {
   private readonly timers = new Set<NodeJS.Timeout>();
 
-  /** Does a step after a while. */
-  plan(ms: number, step: () => void): void {
+  /** Runs a task after a delay. */
+  plan(delayMs: number, task: () => void): void {
     const timer = setTimeout(() => {
       this.timers.delete(timer);
-      step();
-    }, ms);
+      task();
+    }, delayMs);
     this.timers.add(timer);
   }
 
-  /** Gives all up that are left. */
+  /** Cancels all pending tasks. */
   close(): void {
     for (const timer of this.timers) clearTimeout(timer);
     this.timers.clear();
--- a/packages/gateway/src/services/endpoint_uses.ts
+++ b/packages/gateway/src/services/endpoint_uses.ts
@@ -1,6 +1,6 @@
 /**
- * What runs on endpoints, as this host tells it and as others tell it: goes
- * between the records of endpoints and what hosts say to each other.
+ * What runs on endpoints: reads this host's use from the endpoint records for
+ * other hosts, and writes the use that other hosts report into the records.
  */
 import type {HousedEngine} from '@irisdock/decisions';
 import type {ToldUse} from '../model/peer_message.js';
@@ -9,15 +9,15 @@
 import type {HostUses, UseRegistry} from './use_publisher.js';
 
 /**
- * What it counts that an engine took no connection of another host, beside 1
- * for one of this host: the fault may be the other host's.
+ * The weight of a failed connection from another host to an engine; one from
+ * this host has the weight 1. The fault may lie with the other host.
  */
-const TOLD_LOSS_WEIGHT = 0.5;
+const REMOTE_LOSS_WEIGHT = 0.5;
 
-/** What runs on endpoints. */
+/** Connects the use reports of hosts with the endpoint records. */
 export class EndpointUses implements UseRegistry {
-  /** Instance ids that a host told of last, by the name of the host. */
-  private readonly toldBy = new Map<string, readonly string[]>();
+  /** The instance ids in each host's last report, by host name. */
+  private readonly reportedBy = new Map<string, readonly string[]>();
 
   constructor(private readonly endpoints: GatewayEndpoints) {}
 
@@ -48,19 +48,19 @@
   }
 
   applyUses(host: string, uses: HostUses): void {
-    for (const instanceId of this.toldBy.get(host) ?? []) {
+    for (const instanceId of this.reportedBy.get(host) ?? []) {
       if (uses[instanceId] !== undefined) continue;
       this.endpoints.find(instanceId)?.setOthersUse(host, undefined);
     }
-    const told = Object.keys(uses);
-    for (const instanceId of told) {
+    const reported = Object.keys(uses);
+    for (const instanceId of reported) {
       this.endpoints.find(instanceId)?.setOthersUse(host, uses[instanceId]);
     }
-    if (told.length > 0) this.toldBy.set(host, told);
-    else this.toldBy.delete(host);
+    if (reported.length > 0) this.reportedBy.set(host, reported);
+    else this.reportedBy.delete(host);
   }
 
   applyLoss(instanceId: string): void {
-    this.endpoints.find(instanceId)?.recordFailure(TOLD_LOSS_WEIGHT);
+    this.endpoints.find(instanceId)?.recordFailure(REMOTE_LOSS_WEIGHT);
   }
 }
--- a/packages/gateway/src/services/endpoints.ts
+++ b/packages/gateway/src/services/endpoints.ts
@@ -1,4 +1,6 @@
-/** The service `endpoints`: the endpoints that the store and other hosts tell of. */
+/**
+ * The service `endpoints`: the endpoints from the store and from other hosts.
+ */
 import {createService, createServiceKey} from '@irisdock/kernel';
 import {Counter, Gauge} from 'prom-client';
 import * as z from 'zod';
@@ -14,7 +16,7 @@
 export const GATEWAY_ENDPOINTS =
   createServiceKey<GatewayEndpoints>('endpoints');
 
-/** Memory of an engine whose service does not tell it, in tokens. */
+/** The memory of an engine whose service does not configure it, in tokens. */
 const UNKNOWN_MEMORY_TOKENS = Number.MAX_SAFE_INTEGER;
 
 /** Declares the service. */
@@ -38,7 +40,7 @@
       isServiceConfigured: (service) => configuration.hasService(service),
       unreadableEntries: new Counter({
         name: 'irisdock_gateway_unreadable_entries_total',
-        help: 'Entries that named no endpoint, a count.',
+        help: 'Endpoint entries that could not be decoded, a count.',
         registers: [context.metrics],
       }),
       getDepartureDelayMs: () =>
@@ -53,7 +55,7 @@
     });
     new Gauge({
       name: 'irisdock_gateway_endpoints',
-      help: 'Endpoints that are known, a count, by state.',
+      help: 'Known endpoints, a count, by state.',
       labelNames: ['state'],
       registers: [context.metrics],
       collect() {
--- a/packages/gateway/src/services/identity.ts
+++ b/packages/gateway/src/services/identity.ts
@@ -1,30 +1,30 @@
-/** The service `host`: who this host is. */
+/** The service `host`: the identity of this host. */
 import {createService, createServiceKey} from '@irisdock/kernel';
 import * as z from 'zod';
 
-/** This host. */
+/** The name, deployment, failure domain and incarnation of this host. */
 export interface HostIdentity {
   readonly name: string;
-  /** Tells hosts of different deployments apart; empty when none is set. */
+  /** Hosts ignore those of other deployments; empty when none is set. */
   readonly deployment: string;
   readonly failureDomain: string;
-  /** Higher after each start of this host. */
+  /** Increases with each start of this host. */
   readonly incarnation: number;
 }
 
 /** The key of the service. */
 export const HOST_IDENTITY = createServiceKey<HostIdentity>('host');
 
-/** The settings of the service; log lines carry the name too. */
+/** The settings of the service; log lines contain the name as well. */
 export const HOST_SETTINGS = z.object({
   name: z.string().min(1).meta({
     unit: 'name',
-    description: 'The name of this host, unlike that of any other.',
+    description: 'The unique name of this host.',
   }),
   deployment: z.string().default('').meta({
     unit: 'name',
     description:
-      'The name of the deployment, the same on all its hosts; hosts of another one are ignored.',
+      'The name of the deployment, the same on all its hosts; hosts of other deployments are ignored.',
   }),
   failureDomain: z.string().min(1).meta({
     unit: 'name',
@@ -40,7 +40,7 @@
   create(context, settings) {
     if (settings.deployment === '') {
       context.log.writeWarning(
-        'No deployment is set: hosts of other deployments are not told apart.',
+        'No deployment is set: hosts of other deployments are not ignored.',
       );
     }
     return {api: {...settings, incarnation: context.clock.getWallNow()}};
--- a/packages/gateway/src/services/json_response.ts
+++ b/packages/gateway/src/services/json_response.ts
@@ -1,7 +1,7 @@
-/** Answers on the operators' address. */
+/** JSON responses on the operators' address. */
 import type {ServerResponse} from 'node:http';
 
-/** Sends a whole answer as JSON. */
+/** Sends a complete response with a JSON body. */
 export function sendJson(
   response: ServerResponse,
   status: number,
--- a/packages/gateway/src/services/leaving_instances.ts
+++ b/packages/gateway/src/services/leaving_instances.ts
@@ -3,8 +3,8 @@
  * a restored store lists them as ready again.
  */
 
-/** Instances kept; the oldest are evicted. Some 2 MB. */
-const MAX_STARTS = 20_000;
+/** The maximum number of instances, some 2 MB; the oldest are evicted. */
+const MAX_INSTANCES = 20_000;
 
 /** A bounded set of instance ids. */
 export class LeavingInstances {
@@ -13,7 +13,7 @@
   add(instanceId: string): void {
     this.instanceIds.add(instanceId);
     const [oldest = ''] = this.instanceIds;
-    if (this.instanceIds.size > MAX_STARTS) this.instanceIds.delete(oldest);
+    if (this.instanceIds.size > MAX_INSTANCES) this.instanceIds.delete(oldest);
   }
 
   has(instanceId: string): boolean {
--- a/packages/gateway/src/services/limit_pages.ts
+++ b/packages/gateway/src/services/limit_pages.ts
@@ -1,4 +1,4 @@
-/** What operators see of limits that endpoints name: `GET /v1/limits`. */
+/** The operators' list of limits that endpoints advertise: `GET /v1/limits`. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Clock} from '@irisdock/kernel';
 import type {GatewayEndpoints} from './gateway_endpoints.js';
@@ -8,14 +8,14 @@
 const PATH = '/v1/limits';
 const MILLI = 1000;
 
-/** What the page shows. */
+/** Dependencies of the page. */
 export interface LimitPagesParts {
   readonly limits: SendLimits;
   readonly endpoints: GatewayEndpoints;
   readonly clock: Clock;
 }
 
-/** Answers a request for this page; false when it is for another one. */
+/** Answers a request for this page; returns false for any other request. */
 export function handleLimitPages(
   message: IncomingMessage,
   response: ServerResponse,
--- a/packages/gateway/src/services/limit_publisher.ts
+++ b/packages/gateway/src/services/limit_publisher.ts
@@ -1,69 +1,69 @@
 /**
- * Tells other hosts that a limit was named, has changed or has ended. Who sees it
- * tells the host that hands out the permits, and that one tells all: so each
- * change is told to all once, however many hosts see it.
+ * Informs other hosts of new, changed and ended limits. A host that sees a
+ * change informs the issuer of the permits, and the issuer informs all hosts:
+ * so each change is broadcast once, however many hosts see it.
  */
 import type {LimitsDatagram, ToldLimit} from '../model/limit_datagram.js';
 import {DelayedTasks} from './delayed_tasks.js';
 
 /**
- * Changes are gathered for so long, in ms; several endpoints of a service may come
- * in need together, and one may change its limit several times.
+ * How long changes are batched, in ms: several endpoints of a service may
+ * advertise limits together, and one may change its limit several times.
  */
-const GATHER_MS = 20;
-/** After so long it is told once more, as a datagram may be lost, in ms. */
+const BATCH_DELAY_MS = 20;
+/** The delay before a message is sent again, as it may be lost, in ms. */
 const REPEAT_MS = 700;
-/** Limits in one datagram; one takes some 40 bytes. */
+/** The maximum number of limits in one datagram; one takes some 40 bytes. */
 const MAX_PER_DATAGRAM = 24;
 
-/** What the notices work with. */
+/** Dependencies of the publisher. */
 export interface LimitPublisherParts {
   readonly ownName: string;
   readonly findIssuer: (instanceId: string) => string | undefined;
-  /** Gives what is believed of an endpoint now. */
+  /** Returns the currently known limit of an endpoint. */
   readonly createLimitSummary: (instanceId: string) => ToldLimit;
   readonly sendToAll: (datagram: LimitsDatagram) => void;
   readonly sendTo: (host: string, datagram: LimitsDatagram) => void;
 }
 
-/** The notices. */
+/** Sends limits to their issuers or to all hosts. */
 export class LimitPublisher {
-  private gathered = new Set<string>();
-  private readonly later = new DelayedTasks();
+  private batch = new Set<string>();
+  private readonly tasks = new DelayedTasks();
 
   constructor(private readonly parts: LimitPublisherParts) {}
 
-  /** Tells of an endpoint's limit, as it is believed when the notice goes out. */
+  /** Sends an endpoint's limit, as it is known when the message is sent. */
   publish(instanceId: string): void {
-    this.gathered.add(instanceId);
-    if (this.gathered.size > 1) return;
-    this.later.plan(GATHER_MS, () => {
-      const instanceIds = [...this.gathered];
-      this.gathered = new Set();
+    this.batch.add(instanceId);
+    if (this.batch.size > 1) return;
+    this.tasks.plan(BATCH_DELAY_MS, () => {
+      const instanceIds = [...this.batch];
+      this.batch = new Set();
       this.sendAll(instanceIds);
-      this.later.plan(REPEAT_MS, () => {
+      this.tasks.plan(REPEAT_MS, () => {
         this.sendAll(instanceIds);
       });
     });
   }
 
   close(): void {
-    this.later.close();
+    this.tasks.close();
   }
 
   private sendAll(instanceIds: readonly string[]): void {
-    const {ownName, findIssuer, createLimitSummary: createTold} = this.parts;
-    const forAll: ToldLimit[] = [];
+    const {ownName, findIssuer, createLimitSummary: createSummary} = this.parts;
+    const broadcast: ToldLimit[] = [];
     for (const instanceId of instanceIds) {
       const issuer = findIssuer(instanceId);
-      const told = createTold(instanceId);
-      if (issuer === ownName) forAll.push(told);
+      const summary = createSummary(instanceId);
+      if (issuer === ownName) broadcast.push(summary);
       else if (issuer !== undefined) {
-        this.parts.sendTo(issuer, this.createDatagram([told]));
+        this.parts.sendTo(issuer, this.createDatagram([summary]));
       }
     }
-    for (let from = 0; from < forAll.length; from += MAX_PER_DATAGRAM) {
-      const part = forAll.slice(from, from + MAX_PER_DATAGRAM);
+    for (let from = 0; from < broadcast.length; from += MAX_PER_DATAGRAM) {
+      const part = broadcast.slice(from, from + MAX_PER_DATAGRAM);
       this.parts.sendToAll(this.createDatagram(part));
     }
   }
--- a/packages/gateway/src/services/limits.ts
+++ b/packages/gateway/src/services/limits.ts
@@ -1,6 +1,6 @@
 /**
- * The service `limits`: the requests a second that endpoints in need take from all
- * hosts together (`send_limits.ts`).
+ * The service `limits`: keeps all hosts together within the rate limits that
+ * overloaded endpoints advertise (`send_limits.ts`).
  */
 import {createService, createServiceKey} from '@irisdock/kernel';
 import {Gauge, type Registry} from 'prom-client';
@@ -44,7 +44,7 @@
 function createGauges(limits: SendLimits, registry: Registry): void {
   new Gauge({
     name: 'irisdock_gateway_limits',
-    help: 'Endpoints that name a limit on their requests, a count.',
+    help: 'Endpoints that advertise a rate limit, a count.',
     registers: [registry],
     collect() {
       this.set(limits.known.count);
@@ -52,7 +52,7 @@
   });
   new Gauge({
     name: 'irisdock_gateway_limit_sends',
-    help: 'Sends of this host under limits in force, a count, by outcome.',
+    help: 'Sends of this host to endpoints with a limit, a count, by outcome.',
     labelNames: ['outcome'],
     registers: [registry],
     collect() {
--- a/packages/gateway/src/services/metrics_page.ts
+++ b/packages/gateway/src/services/metrics_page.ts
@@ -1,6 +1,6 @@
 /**
- * The service `metrics`: the operators' address of this process. It gives the
- * figures as text, and the pages of `crash_pages.ts`, `limit_pages.ts` and
+ * The service `metrics`: the operators' HTTP server of this process. It serves
+ * the metrics as text and the pages of `crash_pages.ts`, `limit_pages.ts` and
  * `host_pages.ts`.
  */
 import {createServer, type Server} from 'node:http';
@@ -24,15 +24,18 @@
 import {LIMITS} from './limits.js';
 import {PEERS} from './peers.js';
 
-/** The path of the page. */
+/** The path of the metrics. */
 export const METRICS_PATH = '/metrics';
 
-/** The usual 10 ms would wake an idle process a hundred times a second. */
-const LOOP_PRECISION_MS = 2000;
+/**
+ * The resolution of the event loop lag, in ms; the default of 10 ms would wake
+ * an idle process 100 times per second.
+ */
+const EVENT_LOOP_RESOLUTION_MS = 2000;
 
 /**
- * The time between two tries to listen, in ms: the process that had the address
- * before may still be stopping.
+ * The time between two attempts to listen, in ms. The previous process with
+ * this address may still be stopping.
  */
 const RETRY_MS = 1000;
 
@@ -45,7 +48,7 @@
   settings: z.object({
     listen: IP_PORT_SCHEMA.meta({
       unit: 'ip:port',
-      description: 'Where the figures are given, at /metrics.',
+      description: 'Where the metrics are served, at /metrics.',
     }),
   }),
   needs: [CRASHES, GATEWAY_CONFIGURATION, GATEWAY_ENDPOINTS, LIMITS, PEERS],
@@ -59,7 +62,7 @@
     collectDefaultMetrics({
       register: metrics,
       prefix: 'irisdock_process_',
-      eventLoopMonitoringPrecision: LOOP_PRECISION_MS,
+      eventLoopMonitoringPrecision: EVENT_LOOP_RESOLUTION_MS,
     });
     const server = createServer((message, response) => {
       if (handleCrashPages(message, response, {crashes, clock, log})) return;
@@ -79,7 +82,7 @@
         })
         .catch((thrown: unknown) => {
           const error = getErrorText(thrown);
-          log.writeError('The figures could not be given.', {error});
+          log.writeError('Failed to collect the metrics.', {error});
           response.writeHead(500).end();
         });
     });
@@ -103,16 +106,18 @@
   },
 });
 
-/** A page that is to be given at an address. */
+/** A server and the address that it listens on. */
 interface ServedPage {
   readonly server: Server;
-  /** Where, as `ip:port`. */
+  /** As `ip:port`. */
   readonly address: string;
   readonly clock: Clock;
   readonly log: Logger;
 }
 
-/** Starts to listen; false when the address is taken. */
+/**
+ * Starts to listen; returns false when that fails, as the address is in use.
+ */
 async function tryListening({
   server,
   address,
@@ -122,14 +127,14 @@
     await startListening(server, address);
     return true;
   } catch (thrown) {
-    // Requests are served without this page too.
+    // Callers are served without this page as well.
     const error = getErrorText(thrown);
     log.writeError('The figures are not given.', {address, error});
     return false;
   }
 }
 
-/** Tries until the address is free. */
+/** Retries until the server listens. */
 async function waitListening(
   page: ServedPage,
   signal: AbortSignal,
--- a/packages/gateway/src/services/peer_requests.ts
+++ b/packages/gateway/src/services/peer_requests.ts
@@ -1,62 +1,69 @@
 /**
- * Requests to one other host by datagram, sent again when the answer may have
- * been lost.
+ * Requests to another host by datagram, sent again when the request or its
+ * answer may have been lost.
  */
 import type {Clock} from '@irisdock/kernel';
 
 /**
- * How long an answer is waited for before the request is sent again, in ms. Ways
- * between failure domains take about 3 ms there and back; a busy host may take 20.
+ * How long an attempt waits for the answer, in ms. A round trip between failure
+ * domains takes about 3 ms; a busy host may take 20 ms to answer.
  */
-const ANSWER_MS = 25;
-/** All three are lost once in 8,000 requests where 2.5 in 100 datagrams are. */
-const MOST_TRIES = 3;
-/** The age from which a try's answer is of no use, in ms; a busy host is late. */
-const MOST_LATE_MS = 100;
+const ATTEMPT_TIMEOUT_MS = 25;
+/**
+ * The maximum number of attempts; with a loss of 2.5 in 100 datagrams, all
+ * three fail once in 8,000 requests.
+ */
+const MAX_ATTEMPTS = 3;
+/**
+ * The time per attempt after which an answer is discarded as too old, in ms.
+ */
+const MAX_AGE_PER_ATTEMPT_MS = 100;
 
-/** What requests and answers are matched by. */
+/** Carries the number by which requests and answers are matched. */
 export interface Numbered {
   readonly number: number;
 }
 
-/** Sends requests and matches answers. */
-export class PeerRequests<Ask extends Numbered, Answer extends Numbered> {
-  private number = 0;
-  private readonly open = new Map<number, (answer: Answer) => void>();
+/** Sends requests and matches them with answers. */
+export class PeerRequests<Request extends Numbered, Answer extends Numbered> {
+  private lastNumber = 0;
+  private readonly pending = new Map<number, (answer: Answer) => void>();
 
   constructor(
     private readonly clock: Clock,
-    private readonly send: (to: string, ask: Ask) => void,
+    private readonly send: (to: string, request: Request) => void,
   ) {}
 
-  /** Asks a host; undefined when it did not answer in time. */
+  /** Sends a request; resolves to undefined without an answer in time. */
   async poll(
     host: string,
-    createAsk: (number: number) => Ask,
+    createRequest: (number: number) => Request,
   ): Promise<Answer | undefined> {
-    this.number++;
-    const {number} = this;
-    const ask = createAsk(number);
-    const limit = new AbortController();
+    this.lastNumber++;
+    const {lastNumber: number} = this;
+    const request = createRequest(number);
+    const answered = new AbortController();
     let found: Answer | undefined;
-    this.open.set(number, (answer) => {
+    this.pending.set(number, (answer) => {
       found = answer;
-      limit.abort();
+      answered.abort();
     });
-    const askedAt = this.clock.getNow();
-    for (let tries = 0; tries < MOST_TRIES; tries++) {
-      this.send(host, ask);
-      await this.clock.wait(ANSWER_MS, limit.signal);
-      if (limit.signal.aborted) break;
+    const sentAt = this.clock.getNow();
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+      this.send(host, request);
+      await this.clock.wait(ATTEMPT_TIMEOUT_MS, answered.signal);
+      if (answered.signal.aborted) break;
     }
-    this.open.delete(number);
-    // A permit is for now: one that waited beside a frozen process is not used.
-    const isOld = this.clock.getNow() - askedAt > MOST_TRIES * MOST_LATE_MS;
+    this.pending.delete(number);
+    // An answer is valid only for a short time, such as a permit. One that
+    // arrived while this process was frozen is discarded.
+    const isOld =
+      this.clock.getNow() - sentAt > MAX_ATTEMPTS * MAX_AGE_PER_ATTEMPT_MS;
     return isOld ? undefined : found;
   }
 
-  /** Takes an answer. */
+  /** Passes an answer to the request with its number. */
   accept(answer: Answer): void {
-    this.open.get(answer.number)?.(answer);
+    this.pending.get(answer.number)?.(answer);
   }
 }
--- a/packages/gateway/src/services/peers.ts
+++ b/packages/gateway/src/services/peers.ts
@@ -1,4 +1,6 @@
-/** The service `peers`: the other hosts (`peer_hosts.ts`). */
+/**
+ * The service `peers`: communication with the other hosts (`peer_hosts.ts`).
+ */
 import {
   createService,
   createServiceKey,
@@ -20,7 +22,7 @@
 const SETTINGS = z.object({
   listen: IP_PORT_SCHEMA.meta({
     unit: 'ip:port',
-    description: 'Where this host takes datagrams of other hosts.',
+    description: 'Where this host listens for datagrams of other hosts.',
   }),
   datagramAddress: IP_PORT_SCHEMA.meta({
     unit: 'ip:port',
@@ -40,11 +42,12 @@
     .transform((text) => text.split(',').filter((part) => part !== ''))
     .meta({
       unit: 'ip:port,...',
-      description: 'Where some other hosts answer hosts; may be old.',
+      description:
+        'The table addresses of some other hosts; they may be outdated.',
     }),
   beatMs: z.coerce.number().int().min(50).default(300).meta({
     unit: 'ms',
-    description: 'The time between two rounds of questions to other hosts.',
+    description: 'The interval between two heartbeats to other hosts.',
   }),
 });
 
@@ -53,7 +56,7 @@
 function addGauges(peers: Peers, metrics: Registry, clock: Clock): void {
   new Gauge({
     name: 'irisdock_gateway_hosts_serving',
-    help: 'Hosts that callers are sent to, this one included, a count.',
+    help: 'Hosts that serve callers, including this one, a count.',
     registers: [metrics],
     collect() {
       this.set(peers.countServing());
@@ -61,7 +64,7 @@
   });
   new Gauge({
     name: 'irisdock_gateway_configuration_age_seconds',
-    help: 'How long ago the configuration in force was certainly the newest.',
+    help: 'How long ago the configuration in force was known to be the latest.',
     registers: [metrics],
     collect() {
       const ageMs = peers.standing.getConfigurationAgeMs(clock.getNow());
@@ -73,7 +76,7 @@
 function createDropCounter(metrics: Registry): Counter {
   return new Counter({
     name: 'irisdock_gateway_peer_datagrams_dropped_total',
-    help: 'Datagrams that are of no host of this deployment, a count.',
+    help: 'Datagrams dropped as not from a host of this deployment, a count.',
     labelNames: ['reason'],
     registers: [metrics],
   });
--- a/packages/gateway/src/services/rollout_decider.ts
+++ b/packages/gateway/src/services/rollout_decider.ts
@@ -61,8 +61,8 @@
       return;
     }
     const next = decideNextPhase(this.createView(state));
-    // Written before the phase is applied: the old endpoints are stopped as soon
-    // as the operator reads this status.
+    // Written before the phase is applied: the old endpoints are stopped as
+    // soon as the operator reads this status.
     const isEnd = next === 'completed' && state.phase !== 'completed';
     if (isEnd && !(await this.writeStatus(state, 'completed'))) return;
     if (next !== state.phase) this.applyPhase(state, next);
--- a/packages/gateway/src/services/store.ts
+++ b/packages/gateway/src/services/store.ts
@@ -1,6 +1,6 @@
 /**
- * The names under which an adapter gives the services of this package their
- * store and their codecs.
+ * The service keys under which an adapter provides the store and the codecs to
+ * the services of this package.
  */
 import {createServiceKey} from '@irisdock/kernel';
 import type {EndpointEntry} from '../model/endpoint_entry.js';
@@ -14,7 +14,7 @@
 import type {ServingConfiguration} from '../model/serving_configuration.js';
 import type {RowCodec, WatchedStore} from '../model/watched_table.js';
 
-/** How an adapter reads what others write. */
+/** The adapter's codecs for headers, rows and messages of other programs. */
 export interface Codecs {
   readonly headers: HeaderCodec;
   readonly copies: CopyCodec;
@@ -23,14 +23,14 @@
   readonly configuration: RowCodec<ServingConfiguration>;
   readonly endpoints: RowCodec<EndpointEntry>;
   readonly rollouts: RolloutCodec;
-  /** The paths at which this host answers questions about itself. */
+  /** The paths for address lists and readiness checks on this host. */
   readonly paths: {readonly addresses: string; readonly readiness: string};
   /**
-   * Gives the failure domain of the caller that asks for addresses; undefined
-   * when its query does not say.
+   * Reads a caller's failure domain from its query for addresses; undefined
+   * when the query does not contain it.
    */
   decodeCallerDomain(query: string): string | undefined;
-  /** Writes the answer to a caller that asks for addresses. */
+  /** Encodes the answer to a query for addresses. */
   encodeAddresses(addresses: readonly string[], keepSeconds: number): string;
 }
 
--- a/packages/gateway/src/services/use_publisher.ts
+++ b/packages/gateway/src/services/use_publisher.ts
@@ -1,8 +1,8 @@
 /**
- * What hosts tell each other of what they have running. The hosts of a group
- * tell each other at once when a stream is placed or ends, and again every
- * while, as a datagram may be lost. Who places a stream on an engine that is at
- * home in another group tells that group as well.
+ * Reports between hosts on what each runs on endpoints. The hosts of a group
+ * inform each other at once when a stream is placed or ends, and repeat it
+ * periodically, as a datagram may be lost. A host that places a stream on an
+ * engine whose home is another group informs that group as well.
  */
 import type {HostView, KnownHost} from '@irisdock/decisions';
 import type {Clock} from '@irisdock/kernel';
@@ -16,16 +16,16 @@
 } from '../model/peer_message.js';
 import type {EngineGroups, EngineList} from './engine_groups.js';
 
-/** What a host has running, by the instance id of the endpoint. */
+/** What a host runs on endpoints, by instance id. */
 export type HostUses = Readonly<Record<string, PeerUse>>;
 
-/** Tells what runs here, and takes what runs elsewhere. */
+/** Lists what this host runs and stores what other hosts run. */
 export interface UseRegistry extends EngineList {
   listLocalUses(): HostUses;
-  /** Finds what runs on an engine but for what one host has there. */
+  /** Finds what all hosts except the given one run on an engine. */
   findUseExcept(instanceId: string, host: string): ToldUse | undefined;
   applyUses(host: string, uses: HostUses): void;
-  /** Takes it that an engine took no connection of another host. */
+  /** Records that an engine accepted no connection of another host. */
   applyLoss(instanceId: string): void;
 }
 
@@ -35,37 +35,37 @@
   datagram: PeerDatagram,
 ) => void;
 
-/** What the notices need to know of this host. */
+/** What the publisher needs to know of this host. */
 export interface UsePublisherOwner {
   readonly name: string;
   readonly incarnation: number;
   readonly clock: Clock;
 }
 
-/** Streams that are placed within this time are told of together, in ms. */
+/** How long placed streams are batched, in ms. */
 const PLACED_DELAY_MS = 10;
-/** What else changed may wait so long, in ms. */
+/** How long other changes may be delayed, in ms. */
 const CHANGED_DELAY_MS = 100;
 /**
- * Beats after which what runs is told again unless it was told since; what was
- * told counts twice as long.
+ * Heartbeats without a report after which it is repeated; a report is valid for
+ * twice as long.
  */
-const REPEAT_AFTER = 3;
-/** Beats after which it is said again that nothing runs any more. */
+const REPEAT_HEARTBEATS = 3;
+/** How often a report that nothing runs any more is repeated. */
 const EMPTY_REPEATS = 2;
 
-/** Tells and takes what runs. */
+/** Sends and receives reports on what runs on endpoints. */
 export class UsePublisher {
-  /** Set by the service that knows what runs. */
+  /** Set by the service that knows the endpoints. */
   registry: UseRegistry | undefined;
   private sequence = 0;
-  /** Beats since what runs was told last. */
-  private quietBeats = 0;
-  private emptyLeft = 0;
-  /** The engines that were told of last. */
-  private toldLast: readonly string[] = [];
+  /** Heartbeats since the last report was sent. */
+  private heartbeatsSinceReport = 0;
+  private emptyRepeatsLeft = 0;
+  /** The instance ids in the last report. */
+  private lastReported: readonly string[] = [];
   private timer: NodeJS.Timeout | undefined;
-  private timerAt = Infinity;
+  private plannedAt = Infinity;
   private readonly sequences = new Map<string, readonly [number, number]>();
 
   constructor(
@@ -76,44 +76,44 @@
   ) {}
 
   /**
-   * Tells the group at once that a stream was placed here. Until they hear of it
-   * they take its engine for less busy than it is: with word in the heartbeats
-   * alone, one stream in eight met another that a host had placed within 0.7 s
-   * (some 180 placements by 6 hosts, counted from their logs).
+   * Reports at once that this host placed a stream. Until other hosts know,
+   * they consider its engine less busy than it is: with reports in the
+   * heartbeats only, one stream in eight met another that a host had placed
+   * within 0.7 s (of some 180 placements by 6 hosts).
    */
   publishPlaced(): void {
     this.plan(PLACED_DELAY_MS);
   }
 
-  /** Tells the group soon that something ended or was read. */
+  /** Reports with a short delay that a stream ended or its prompt was read. */
   publishChanged(): void {
     this.plan(CHANGED_DELAY_MS);
   }
 
   /**
-   * Tells who would use an engine next that it took no connection, so that not
-   * each of them has to find it out by a send of its own.
+   * Informs the hosts that may use an engine that it accepted no connection, so
+   * that they need not find out by sends of their own.
    */
   publishLoss(instanceId: string): void {
     this.send(this.listTargets([instanceId]), {kind: 'loss', instanceId});
   }
 
-  /** Takes it that an engine took no connection of another host. */
+  /** Handles another host's report that an engine accepted no connection. */
   acceptLoss({instanceId}: LossDatagram): void {
     this.registry?.applyLoss(instanceId);
   }
 
-  /** Tells again what runs, when that is due. */
+  /** Repeats the report if that is due. */
   startHeartbeat(): void {
-    this.quietBeats++;
-    this.dropUnheard();
-    if (this.quietBeats >= REPEAT_AFTER) this.sendUses(false);
+    this.heartbeatsSinceReport++;
+    this.dropLostHosts();
+    if (this.heartbeatsSinceReport >= REPEAT_HEARTBEATS) this.sendUses(false);
   }
 
-  /** Takes what another host has running. */
+  /** Handles a report of another host; outdated ones are ignored. */
   accept({name, incarnation, sequence, uses}: UsesDatagram): void {
-    const [life, last] = this.sequences.get(name) ?? [0, 0];
-    if (incarnation === life && sequence <= last) return;
+    const [lastIncarnation, lastSequence] = this.sequences.get(name) ?? [0, 0];
+    if (incarnation === lastIncarnation && sequence <= lastSequence) return;
     this.sequences.set(name, [incarnation, sequence]);
     this.registry?.applyUses(name, uses);
   }
@@ -124,33 +124,33 @@
 
   private plan(delayMs: number): void {
     const at = this.owner.clock.getNow() + delayMs;
-    if (at >= this.timerAt) return;
+    if (at >= this.plannedAt) return;
     clearTimeout(this.timer);
-    this.timerAt = at;
+    this.plannedAt = at;
     this.timer = setTimeout(() => {
-      this.timerAt = Infinity;
+      this.plannedAt = Infinity;
       this.sendUses(true);
     }, delayMs);
   }
 
   private sendUses(hasChanged: boolean): void {
-    this.quietBeats = 0;
+    this.heartbeatsSinceReport = 0;
     const uses = this.registry?.listLocalUses() ?? {};
     const isEmpty = Object.keys(uses).length === 0;
-    if (!isEmpty || hasChanged) this.emptyLeft = EMPTY_REPEATS;
-    else if (this.emptyLeft > 0) this.emptyLeft--;
-    if (isEmpty && this.emptyLeft === 0) return;
+    if (!isEmpty || hasChanged) this.emptyRepeatsLeft = EMPTY_REPEATS;
+    else if (this.emptyRepeatsLeft > 0) this.emptyRepeatsLeft--;
+    if (isEmpty && this.emptyRepeatsLeft === 0) return;
     const {name, incarnation} = this.owner;
     this.sequence++;
     const {sequence} = this;
-    const told = Object.keys(uses);
-    // Who was told of a stream before is told of its end as well.
-    const targets = this.listTargets([...told, ...this.toldLast]);
-    this.toldLast = told;
+    const reported = Object.keys(uses);
+    // Hosts that were informed of a stream are informed of its end as well.
+    const targets = this.listTargets([...reported, ...this.lastReported]);
+    this.lastReported = reported;
     this.send(targets, {kind: 'uses', name, incarnation, sequence, uses});
   }
 
-  /** Lists the own group, and the homes of engines that it is not home of. */
+  /** Lists this host's group and the home groups of the given engines. */
   private listTargets(instanceIds: Iterable<string>): KnownHost<PeerPlace>[] {
     const hosts = new Set(this.groups.listGroup());
     for (const instanceId of instanceIds) {
@@ -160,8 +160,8 @@
     return [...hosts];
   }
 
-  /** Forgets what was told by hosts that are not believed to be alive. */
-  private dropUnheard(): void {
+  /** Removes the reports of hosts that are not considered alive. */
+  private dropLostHosts(): void {
     for (const name of this.sequences.keys()) {
       if (this.view.find(name)?.standing === 'alive') continue;
       this.sequences.delete(name);
--- a/packages/gateway/src/services/use_queries.ts
+++ b/packages/gateway/src/services/use_queries.ts
@@ -1,7 +1,7 @@
 /**
- * Asks the home hosts of engines what runs there. An engine's home group is
- * told of every stream that is placed on it, so one of its hosts knows what the
- * engine itself would say, without a connection to the engine.
+ * Asks hosts in the home groups of engines what runs on these engines. A home
+ * group is informed of every stream that is placed on its engines, so one of
+ * its hosts can answer for an engine without a connection to it.
  */
 import type {HostView} from '@irisdock/decisions';
 import {getShuffled, type Clock, type Random} from '@irisdock/kernel';
@@ -16,22 +16,22 @@
 import type {SendToHosts, UseRegistry} from './use_publisher.js';
 
 /**
- * How long an answer is waited for, in ms. Ways between failure domains take
- * about 1 ms and back; a long prompt takes a second to read, so that a lost
- * question costs its caller little.
+ * How long to wait for an answer, in ms. A round trip between failure domains
+ * takes about 1 ms. Reading a long prompt takes a second, so the delay by a
+ * lost query matters little to the caller.
  */
-const ANSWER_MS = 30;
+const ANSWER_TIMEOUT_MS = 30;
 
-interface OpenQuestion {
-  readonly handleAnswer: (told: readonly ToldUse[]) => void;
+interface PendingQuery {
+  readonly handleAnswer: (uses: readonly ToldUse[]) => void;
 }
 
-/** Asks and answers. */
+/** Sends and answers queries. */
 export class UseQueries {
-  /** Set by the service that knows what runs. */
+  /** Set by the service that knows the endpoints. */
   registry: UseRegistry | undefined;
-  private number = 0;
-  private readonly open = new Map<number, OpenQuestion>();
+  private lastNumber = 0;
+  private readonly pending = new Map<number, PendingQuery>();
 
   constructor(
     private readonly ownName: string,
@@ -42,56 +42,58 @@
     private readonly send: SendToHosts,
   ) {}
 
-  /** Asks what runs on engines; what is not answered in time is left out. */
+  /**
+   * Asks what runs on engines; engines without an answer in time are omitted.
+   */
   async poll(instanceIds: readonly string[]): Promise<ToldUse[]> {
     const answers = await Promise.all(
       instanceIds.map((instanceId) => this.pollOne(instanceId)),
     );
-    return answers.filter((told) => told !== undefined);
+    return answers.filter((use) => use !== undefined);
   }
 
-  /** Answers another host. */
-  acceptQuery(question: QuestionDatagram): void {
-    const asker = this.view.find(question.name);
-    const {registry: board} = this;
-    if (asker === undefined || board === undefined) return;
+  /** Answers a query of another host. */
+  acceptQuery(query: QuestionDatagram): void {
+    const sender = this.view.find(query.name);
+    const {registry} = this;
+    if (sender === undefined || registry === undefined) return;
     const uses: ToldUse[] = [];
-    for (const instanceId of question.instanceIds) {
-      const told = board.findUseExcept(instanceId, question.name);
-      if (told !== undefined) uses.push(told);
+    for (const instanceId of query.instanceIds) {
+      const use = registry.findUseExcept(instanceId, query.name);
+      if (use !== undefined) uses.push(use);
     }
-    const {number} = question;
-    this.send([asker], {kind: 'answer', number, uses});
+    const {number} = query;
+    this.send([sender], {kind: 'answer', number, uses});
   }
 
-  /** Takes the answer of another host. */
+  /** Passes an answer to the query with its number. */
   acceptAnswer({number, uses}: AnswerDatagram): void {
-    this.open.get(number)?.handleAnswer(uses);
+    this.pending.get(number)?.handleAnswer(uses);
   }
 
   private async pollOne(instanceId: string): Promise<ToldUse | undefined> {
     const homes = this.groups.listHomeHosts(instanceId);
     const [host] = getShuffled(homes, this.random);
     if (host === undefined) return undefined;
-    this.number++;
-    const {number} = this;
-    const question: PeerDatagram = {
+    this.lastNumber++;
+    const {lastNumber: number} = this;
+    const query: PeerDatagram = {
       kind: 'question',
       name: this.ownName,
       number,
       instanceIds: [instanceId],
     };
-    const limit = new AbortController();
-    let told: ToldUse | undefined;
-    this.open.set(number, {
+    const answered = new AbortController();
+    let use: ToldUse | undefined;
+    this.pending.set(number, {
       handleAnswer: (uses) => {
-        told = uses.find((one) => one.instanceId === instanceId);
-        limit.abort();
+        use = uses.find((candidate) => candidate.instanceId === instanceId);
+        answered.abort();
       },
     });
-    this.send([host], question);
-    await this.clock.wait(ANSWER_MS, limit.signal);
-    this.open.delete(number);
-    return told;
+    this.send([host], query);
+    await this.clock.wait(ANSWER_TIMEOUT_MS, answered.signal);
+    this.pending.delete(number);
+    return use;
   }
 }
