--- a/packages/daemon/src/answer/record_finder.ts
+++ b/packages/daemon/src/answer/record_finder.ts
@@ -4,9 +4,9 @@
  */
 import type {Clock, KnownError, Random} from '@irisdock/kernel';
 import {
-  getTakeover,
+  getTakeoverCount,
   isRecordFit,
-  type ReadId,
+  type ParsedRequestId,
   type ResumeData,
 } from '@irisdock/decisions';
 import {err, ok, type Result} from 'neverthrow';
@@ -17,7 +17,7 @@
 
 /** A request as it comes from a caller. */
 export interface StreamAsk {
-  readonly id: ReadId;
+  readonly id: ParsedRequestId;
   readonly request: GenerationRequest;
   /** The offset of the first token that the caller still wants. */
   readonly fromOffset: number;
@@ -118,7 +118,7 @@
     const text = fromOffset === 0 ? '' : ask.receivedText;
     const record = this.createRecord(request, fromOffset, text);
     record.mayHaveRun = true;
-    const before = getTakeover(resumeData?.generation ?? 0);
+    const before = getTakeoverCount(resumeData?.generation ?? 0);
     record.takeover = Math.max(before, kept?.takeover ?? 0) + 1;
     record.endpoint = resumeData?.endpoint ?? '';
     // Its driver, should it still run, gives to a connection that was left.
--- a/packages/gateway/src/services/crash_publisher.ts
+++ b/packages/gateway/src/services/crash_broadcaster.ts
@@ -17,7 +17,7 @@
 const MAX_PER_DATAGRAM = 16;
 
 /** Sends crashes and their clearing to all hosts. */
-export class CrashPublisher {
+export class CrashBroadcaster {
   private batch: Crash[] = [];
   private readonly tasks = new DelayedTasks();
 
--- a/packages/gateway/src/services/crash_store.ts
+++ b/packages/gateway/src/services/crash_store.ts
@@ -4,8 +4,8 @@
  */
 import type {Crash} from '@irisdock/decisions';
 import type {Clock, Logger} from '@irisdock/kernel';
-import {formatCrashKey, formatCrashNote} from '../model/crash_row.js';
-import type {RowChange, WatchedStore} from '../model/watched_table.js';
+import {formatCrashKey, formatCrashValue} from '../model/crash_row.js';
+import type {RowChange, TableStore} from '../model/table_store.js';
 
 /** The minimum time between two calls of one host to the store, in ms. */
 const MIN_CALL_INTERVAL_MS = 100;
@@ -19,7 +19,7 @@
 /** Dependencies of the crash store. */
 export interface CrashStoreParts {
   readonly host: string;
-  readonly store: WatchedStore;
+  readonly store: TableStore;
   readonly clock: Clock;
   readonly log: Logger;
   /** Whether the store is known to have a row. */
@@ -40,7 +40,7 @@
   /** Writes the rows of crashes that the store lacks. */
   saveCrashes(crashes: readonly Crash[]): void {
     const {host, clock, hasRow} = this.parts;
-    const note = formatCrashNote({host, at: clock.getWallNow()});
+    const note = formatCrashValue({host, at: clock.getWallNow()});
     for (const crash of crashes) {
       const key = formatCrashKey(crash);
       if (this.pending.get(key) === undefined && !hasRow(key)) {
--- a/packages/gateway/src/services/crashes.ts
+++ b/packages/gateway/src/services/crashes.ts
@@ -8,7 +8,7 @@
 import * as z from 'zod';
 import {CrashRecords} from '../serving/crash_records.js';
 import {CrashRowIndex} from './crash_row_index.js';
-import {CrashPublisher} from './crash_publisher.js';
+import {CrashBroadcaster} from './crash_broadcaster.js';
 import {CrashStore} from './crash_store.js';
 import {HOST_IDENTITY} from './identity.js';
 import {PEERS} from './peers.js';
@@ -43,7 +43,7 @@
     const keepMs = settings.keepSeconds * 1000;
     const ledger = new CrashLedger({keepMs, maxContents: MAX_CONTENTS});
     const api = new CrashRecords({ledger, clock, log});
-    const publisher = new CrashPublisher((datagram) => {
+    const publisher = new CrashBroadcaster((datagram) => {
       peers.sendToAll(datagram);
     });
     const index = new CrashRowIndex();
@@ -52,10 +52,10 @@
       store: context.find(STORE),
       clock,
       log,
-      hasRow: (key) => table.replica.hasCurrent(key),
+      hasRow: (key) => table.replica.isInCurrentEra(key),
       listKeys: (content) => index.listKeys(content),
     });
-    api.spreader = {
+    api.publisher = {
       publishCrash: (crash, isUrgent) => {
         publisher.publishCrash(crash, isUrgent);
       },
@@ -71,7 +71,7 @@
     };
     peers.handlers.crashes = api;
     applyRows(table.replica.listAll(), index, api);
-    void table.news.observe((rows) => {
+    void table.changes.observe((rows) => {
       applyRows(rows, index, api);
     });
     void table.restored.observe(() => {
@@ -125,7 +125,7 @@
     collect() {
       this.reset();
       for (const {content} of records.listContents()) {
-        this.inc({verdict: records.decide(content)});
+        this.inc({verdict: records.getVerdict(content)});
       }
     },
   });
--- a/packages/gateway/src/services/datagram_handlers.ts
+++ b/packages/gateway/src/services/datagram_handlers.ts
@@ -6,20 +6,20 @@
 import type {Crash} from '@irisdock/decisions';
 import type {
   LimitsDatagram,
-  PermitAnswerDatagram,
-  PermitAskDatagram,
+  PermitResponseDatagram,
+  PermitRequestDatagram,
 } from '../model/limit_datagram.js';
 import type {
-  ClearedDatagram,
+  ContentClearedDatagram,
   CrashesDatagram,
   GrantDatagram,
   RolloutPhaseDatagram,
   RolloutReportDatagram,
 } from '../model/peer_message.js';
 import type {
-  LeaseAnswerDatagram,
-  LeaseAskDatagram,
-  LeaseEndDatagram,
+  LeaseResponseDatagram,
+  LeaseRequestDatagram,
+  LeaseReleaseDatagram,
 } from '../model/run_lease_datagram.js';
 
 /** Handles datagrams about roll-outs. */
@@ -39,20 +39,20 @@
   /** Does the work of one heartbeat. */
   startHeartbeat(): void;
   acceptLimits(datagram: LimitsDatagram): void;
-  acceptPermitRequest(datagram: PermitAskDatagram): void;
-  acceptPermitAnswer(datagram: PermitAnswerDatagram): void;
+  acceptPermitRequest(datagram: PermitRequestDatagram): void;
+  acceptPermitAnswer(datagram: PermitResponseDatagram): void;
 }
 
 /** Handles requests and grants of run leases. */
 export interface LeaseDatagramHandler {
-  acceptLeaseRequest(datagram: LeaseAskDatagram): void;
-  acceptLeaseAnswer(datagram: LeaseAnswerDatagram): void;
-  acceptLeaseRelease(datagram: LeaseEndDatagram): void;
+  acceptLeaseRequest(datagram: LeaseRequestDatagram): void;
+  acceptLeaseAnswer(datagram: LeaseResponseDatagram): void;
+  acceptLeaseRelease(datagram: LeaseReleaseDatagram): void;
 }
 
 /** A datagram that goes to one of the handlers. */
 export type HandledDatagram =
-  | ClearedDatagram
+  | ContentClearedDatagram
   | CrashesDatagram
   | GrantDatagram
   | RolloutPhaseDatagram
--- a/packages/gateway/src/services/endpoint_gate.ts
+++ b/packages/gateway/src/services/endpoint_gate.ts
@@ -3,7 +3,7 @@
  * announced that it is leaving or requested a pause, then its rate limit over
  * all hosts.
  */
-import type {SendUse} from '@irisdock/decisions';
+import type {SendPriority} from '@irisdock/decisions';
 import type {Clock} from '@irisdock/kernel';
 import {Counter, Gauge, type Registry} from 'prom-client';
 import type {
@@ -48,7 +48,7 @@
 
   admit(
     target: SendTarget,
-    use: SendUse,
+    use: SendPriority,
   ): Promise<SendAdmission> | SendAdmission {
     const {limits} = this.parts;
     const hold = this.findHold(target, use);
@@ -81,7 +81,10 @@
     return this.parts.limits.decideReturnMs(holds);
   }
 
-  private findHold(target: SendTarget, use: SendUse): SendHold | undefined {
+  private findHold(
+    target: SendTarget,
+    use: SendPriority,
+  ): SendHold | undefined {
     const {endpoints, clock} = this.parts;
     const {instanceId} = target;
     const end = endpoints.pauses.findEnd(instanceId);
--- a/packages/gateway/src/services/endpoint_uses.ts
+++ b/packages/gateway/src/services/endpoint_uses.ts
@@ -2,8 +2,8 @@
  * What runs on endpoints: reads this host's use from the endpoint records for
  * other hosts, and writes the use that other hosts report into the records.
  */
-import type {HousedEngine} from '@irisdock/decisions';
-import type {ToldUse} from '../model/peer_message.js';
+import type {EngineLocation} from '@irisdock/decisions';
+import type {EndpointUsageReport} from '../model/peer_message.js';
 import type {EndpointUse} from '../serving/endpoint_record.js';
 import type {GatewayEndpoints} from './gateway_endpoints.js';
 import type {HostUses, UseRegistry} from './use_publisher.js';
@@ -25,7 +25,7 @@
     return this.endpoints.version;
   }
 
-  listEngines(): readonly HousedEngine[] {
+  listEngines(): readonly EngineLocation[] {
     return [...this.endpoints.listAll()];
   }
 
@@ -40,21 +40,24 @@
     return uses;
   }
 
-  findUseExcept(instanceId: string, host: string): ToldUse | undefined {
+  findUseExcept(
+    instanceId: string,
+    host: string,
+  ): EndpointUsageReport | undefined {
     const record = this.endpoints.find(instanceId);
     if (record?.isUsable !== true) return undefined;
-    const use = record.getUseBut(host);
+    const use = record.getUseExcept(host);
     return {instanceId, ...use, failures: record.failureScore};
   }
 
   applyUses(host: string, uses: HostUses): void {
     for (const instanceId of this.reportedBy.get(host) ?? []) {
       if (uses[instanceId] !== undefined) continue;
-      this.endpoints.find(instanceId)?.setOthersUse(host, undefined);
+      this.endpoints.find(instanceId)?.setPeerUse(host, undefined);
     }
     const reported = Object.keys(uses);
     for (const instanceId of reported) {
-      this.endpoints.find(instanceId)?.setOthersUse(host, uses[instanceId]);
+      this.endpoints.find(instanceId)?.setPeerUse(host, uses[instanceId]);
     }
     if (reported.length > 0) this.reportedBy.set(host, reported);
     else this.reportedBy.delete(host);
--- a/packages/gateway/src/services/endpoints.ts
+++ b/packages/gateway/src/services/endpoints.ts
@@ -44,13 +44,13 @@
         registers: [context.metrics],
       }),
       getDepartureDelayMs: () =>
-        peers.standing.getDepartureDelay(clock.getNow()),
+        peers.standing.getDepartureDelayMs(clock.getNow()),
       peers,
       pauses: new EndpointPauses(clock, log),
     });
     peers.useRegistry = new EndpointUses(api);
     api.applyRows(table.replica.listAll());
-    void table.news.observe((rows) => {
+    void table.changes.observe((rows) => {
       api.applyRows(rows);
     });
     new Gauge({
--- a/packages/gateway/src/services/engine_groups.ts
+++ b/packages/gateway/src/services/engine_groups.ts
@@ -4,21 +4,21 @@
  * changes.
  */
 import {
-  createHomes,
+  computeHomeGroups,
   createHostGroups,
   type HostGroup,
   type HostView,
-  type HousedEngine,
+  type EngineLocation,
   type KnownHost,
 } from '@irisdock/decisions';
 import {getShuffled, type Random} from '@irisdock/kernel';
-import type {PeerPlace} from '../model/peer_message.js';
+import type {PeerLocation} from '../model/peer_message.js';
 
 /** The known engines. */
 export interface EngineList {
   /** Changes whenever the engines do. */
   readonly version: number;
-  listEngines(): readonly HousedEngine[];
+  listEngines(): readonly EngineLocation[];
 }
 
 interface HomeGroups {
@@ -42,20 +42,20 @@
 
   constructor(
     private readonly ownName: string,
-    private readonly ownPlace: PeerPlace,
-    private readonly view: HostView<PeerPlace>,
+    private readonly ownPlace: PeerLocation,
+    private readonly view: HostView<PeerLocation>,
     private readonly random: Random,
   ) {}
 
   /** Lists the other hosts in this host's group. */
-  listGroup(): KnownHost<PeerPlace>[] {
+  listGroup(): KnownHost<PeerLocation>[] {
     return this.listHosts(this.getHomeGroups().group);
   }
 
   /** Lists a few hosts of each other group, chosen at random. */
-  listRelays(): KnownHost<PeerPlace>[] {
+  listRelays(): KnownHost<PeerLocation>[] {
     const {groups, group: own} = this.getHomeGroups();
-    const relays: KnownHost<PeerPlace>[] = [];
+    const relays: KnownHost<PeerLocation>[] = [];
     for (const group of groups) {
       if (group === own) continue;
       const hosts = getShuffled(this.listHosts(group), this.random);
@@ -71,12 +71,12 @@
   }
 
   /** Lists the other hosts in the home group of an engine. */
-  listHomeHosts(instanceId: string): KnownHost<PeerPlace>[] {
+  listHomeHosts(instanceId: string): KnownHost<PeerLocation>[] {
     return this.listHosts(this.getHomeGroups().homes.get(instanceId));
   }
 
-  private listHosts(group: HostGroup | undefined): KnownHost<PeerPlace>[] {
-    const hosts: KnownHost<PeerPlace>[] = [];
+  private listHosts(group: HostGroup | undefined): KnownHost<PeerLocation>[] {
+    const hosts: KnownHost<PeerLocation>[] = [];
     for (const name of group?.names ?? []) {
       const host = this.view.find(name);
       if (host !== undefined) hosts.push(host);
@@ -98,7 +98,7 @@
     }
     const groups = createHostGroups(hosts);
     const group = groups.find(({names}) => names.includes(this.ownName));
-    const homes = createHomes(groups, this.engines.listEngines());
+    const homes = computeHomeGroups(groups, this.engines.listEngines());
     this.cached = {recordsHash, version, groups, group, homes};
     return this.cached;
   }
--- a/packages/gateway/src/services/host_tracker.ts
+++ b/packages/gateway/src/services/host_tracker.ts
@@ -5,23 +5,23 @@
  */
 import {
   hashText,
-  HostWatch,
+  FailureDetector,
   ReaderReports,
-  SuspensionWatch,
+  SuspensionDetector,
   type HostRecord,
   type HostView,
-  type OutgoingWatch,
+  type OutgoingGossip,
 } from '@irisdock/decisions';
 import type {Clock, Logger, Random} from '@irisdock/kernel';
 import type {PeerTableSource} from '../tables/peer_table_source.js';
-import type {PeerPlace, WatchDatagram} from '../model/peer_message.js';
+import type {PeerLocation, MembershipDatagram} from '../model/peer_message.js';
 import {PeerTableLoader} from '../tables/peer_table_loader.js';
 import {
   sortHostSummaries,
   type LastHeard,
   type HostSummary,
 } from './host_summaries.js';
-import {StoreStanding} from '../tables/store_standing.js';
+import {StoreStatus} from '../tables/store_status.js';
 import type {Tables} from '../tables/tables.js';
 import type {SendToHosts} from './use_publisher.js';
 
@@ -31,7 +31,7 @@
 /** A host that is considered alive. */
 export interface AliveHost {
   readonly record: HostRecord;
-  readonly place: PeerPlace;
+  readonly place: PeerLocation;
 }
 
 /** Dependencies of the tracker. */
@@ -39,7 +39,7 @@
   readonly name: string;
   readonly incarnation: number;
   /** The addresses and the failure domain of this host. */
-  readonly place: PeerPlace;
+  readonly place: PeerLocation;
   /** The time between two heartbeats, in ms. */
   readonly heartbeatMs: number;
   /** Whether seeds are set: other hosts may run that are not known yet. */
@@ -70,7 +70,7 @@
  * the full host list is loaded. A few are tolerated, as one host may lag
  * behind.
  */
-const MAX_DIFFERING = 8;
+const MAX_DIFFS = 8;
 /**
  * The minimum time between two loads of the full list, in ms. Where hosts come
  * and go all the time, records always differ, and a list is 50 KB with 195
@@ -82,16 +82,16 @@
 export class HostTracker {
   /** Returns this host's state; set by the service that knows it. */
   getState: () => PeerState = () => 'starting';
-  readonly standing: StoreStanding;
+  readonly standing: StoreStatus;
   readonly loader: PeerTableLoader;
-  private readonly detector: HostWatch<PeerPlace>;
+  private readonly detector: FailureDetector<PeerLocation>;
   private readonly reports = new ReaderReports();
-  private readonly suspensionDetector = new SuspensionWatch();
+  private readonly suspensionDetector = new SuspensionDetector();
   private readonly closing = new AbortController();
   private isUpdatePlanned = false;
   private updatesSentAt = -Infinity;
   /** Consecutive messages whose sender's host records differ. */
-  private differingCount = 0;
+  private diffCount = 0;
   private listLoadedAt = -Infinity;
   /** The last revisions received from each host, by name. */
   private readonly lastHeard = new Map<string, LastHeard>();
@@ -109,7 +109,7 @@
       state: 'starting',
       isStoreAway: false,
     };
-    this.detector = new HostWatch(
+    this.detector = new FailureDetector(
       record,
       place,
       TIMEOUTS,
@@ -123,15 +123,15 @@
       clock,
       log,
       (changes) => {
-        this.detector.acceptList(changes, clock.getNow());
+        this.detector.acceptHostList(changes, clock.getNow());
         this.planUpdate();
       },
     );
-    this.standing = new StoreStanding(this.view, tables, this.reports);
+    this.standing = new StoreStatus(this.view, tables, this.reports);
   }
 
   /** What this host knows of the other hosts. */
-  get view(): HostView<PeerPlace> {
+  get view(): HostView<PeerLocation> {
     return this.detector.view;
   }
 
@@ -183,9 +183,9 @@
   /** Does the work of one heartbeat. */
   startHeartbeat(now: number): void {
     this.updateOwnRecord(now);
-    this.standing.updateReading(this.isAlone);
+    this.standing.updateRole(this.isAlone);
     this.sendGossip(this.detector.startBeat(now), now);
-    for (const host of this.detector.takeSilent()) {
+    for (const host of this.detector.takeNewlySuspected()) {
       this.parts.log.writeInfo('Host is suspected: it does not answer.', {
         host,
       });
@@ -205,11 +205,11 @@
   publishState(): void {
     const now = this.parts.clock.getNow();
     this.updateOwnRecord(now);
-    this.sendGossip(this.detector.startNotices(), now);
+    this.sendGossip(this.detector.createNotices(), now);
   }
 
   /** Handles a gossip message of another host. */
-  accept({watch, revisions, reports, sentAt}: WatchDatagram): void {
+  accept({watch, revisions, reports, sentAt}: MembershipDatagram): void {
     const {name, incarnation} = watch.sender;
     if (name === this.parts.name) return;
     this.checkSuspension(name, incarnation, sentAt);
@@ -223,7 +223,7 @@
     const sender = this.view.find(name);
     if (sender === undefined) return;
     this.lastHeard.set(name, {revisions, at: now});
-    this.loader.markRevisions(revisions, sender.place.tables, now);
+    this.loader.recordRevisions(revisions, sender.place.tables, now);
     this.compareRecords(watch.recordsHash, sender.place.tables, now);
   }
 
@@ -257,13 +257,13 @@
   }
 
   private updateOwnRecord(now: number): void {
-    const isStoreAway = this.standing.isAway(now);
+    const isStoreAway = this.standing.hasStoreFailedRecently(now);
     this.detector.updateOwn({state: this.getState(), isStoreAway});
   }
 
   /** Schedules a message with urgent host updates. */
   private planUpdate(): void {
-    if (!this.detector.isFresh || this.isUpdatePlanned) return;
+    if (!this.detector.hasUrgentUpdates || this.isUpdatePlanned) return;
     this.isUpdatePlanned = true;
     void this.sendUpdates();
   }
@@ -276,10 +276,10 @@
     if (signal.aborted) return;
     this.isUpdatePlanned = false;
     this.updatesSentAt = clock.getNow();
-    this.sendGossip(this.detector.startNotices(), this.updatesSentAt);
+    this.sendGossip(this.detector.createNotices(), this.updatesSentAt);
   }
 
-  private sendGossip(sent: OutgoingWatch<PeerPlace>[], now: number): void {
+  private sendGossip(sent: OutgoingGossip<PeerLocation>[], now: number): void {
     if (sent.length === 0) return;
     const revisions = this.loader.listRevisions();
     const own = this.standing.createReport(this.view.ownRecord, now);
@@ -294,8 +294,8 @@
   /** Loads the full host list if other hosts' records differ for long. */
   private compareRecords(hash: number, tables: string, now: number): void {
     const isSame = hash === this.view.recordsHash;
-    this.differingCount = isSame ? 0 : this.differingCount + 1;
-    if (this.differingCount < MAX_DIFFERING || this.detector.isFresh) return;
+    this.diffCount = isSame ? 0 : this.diffCount + 1;
+    if (this.diffCount < MAX_DIFFS || this.detector.hasUrgentUpdates) return;
     if (now - this.listLoadedAt < MIN_LIST_INTERVAL_MS) return;
     this.listLoadedAt = now;
     void this.loader.loadAll(tables);
--- a/packages/gateway/src/services/known_limits.ts
+++ b/packages/gateway/src/services/known_limits.ts
@@ -3,10 +3,10 @@
  * responses that it received itself and from the reports of other hosts.
  */
 import {
-  decideRate,
+  computeEnforcedRate,
   isNewerReport,
   type LimitReport,
-  type NamedLimit,
+  type AdvertisedLimit,
 } from '@irisdock/decisions';
 import type {Clock, Logger} from '@irisdock/kernel';
 
@@ -75,9 +75,12 @@
   }
 
   /** Applies a limit that a response has just advertised. */
-  acceptAdvertised(instanceId: string, advertised: NamedLimit): ReportOutcome {
+  acceptAdvertised(
+    instanceId: string,
+    advertised: AdvertisedLimit,
+  ): ReportOutcome {
     const before = this.reports.get(instanceId)?.perSecond;
-    const perSecond = decideRate(advertised, before);
+    const perSecond = computeEnforcedRate(advertised, before);
     if (advertised.kind === 'unreadable' && before === undefined) {
       this.log.writeWarning('Endpoint advertised an unreadable limit.', {
         endpoint: instanceId,
--- a/packages/gateway/src/services/limit_publisher.ts
+++ b/packages/gateway/src/services/limit_publisher.ts
@@ -3,7 +3,7 @@
  * change informs the issuer of the permits, and the issuer informs all hosts:
  * so each change is broadcast once, however many hosts see it.
  */
-import type {LimitsDatagram, ToldLimit} from '../model/limit_datagram.js';
+import type {LimitsDatagram, ReportedLimit} from '../model/limit_datagram.js';
 import {DelayedTasks} from './delayed_tasks.js';
 
 /**
@@ -21,7 +21,7 @@
   readonly ownName: string;
   readonly findIssuer: (instanceId: string) => string | undefined;
   /** Returns the currently known limit of an endpoint. */
-  readonly createLimitSummary: (instanceId: string) => ToldLimit;
+  readonly createLimitSummary: (instanceId: string) => ReportedLimit;
   readonly sendToAll: (datagram: LimitsDatagram) => void;
   readonly sendTo: (host: string, datagram: LimitsDatagram) => void;
 }
@@ -53,7 +53,7 @@
 
   private sendAll(instanceIds: readonly string[]): void {
     const {ownName, findIssuer, createLimitSummary: createSummary} = this.parts;
-    const broadcast: ToldLimit[] = [];
+    const broadcast: ReportedLimit[] = [];
     for (const instanceId of instanceIds) {
       const issuer = findIssuer(instanceId);
       const summary = createSummary(instanceId);
@@ -68,7 +68,7 @@
     }
   }
 
-  private createDatagram(limits: readonly ToldLimit[]): LimitsDatagram {
+  private createDatagram(limits: readonly ReportedLimit[]): LimitsDatagram {
     return {kind: 'limits', name: this.parts.ownName, limits};
   }
 }
--- a/packages/gateway/src/services/peer_hosts.ts
+++ b/packages/gateway/src/services/peer_hosts.ts
@@ -7,13 +7,13 @@
 import {getShuffled} from '@irisdock/kernel';
 import type {
   DatagramPort,
-  OpenDatagramPort,
+  DatagramPortFactory,
 } from '../channels/datagram_socket.js';
 import {FramedPort} from '../channels/framed_port.js';
 import {decodePeerDatagram, encodePeerDatagram} from '../model/peer_codec.js';
 import type {DropReason} from '../model/peer_frame.js';
-import type {PeerDatagram, PeerPlace} from '../model/peer_message.js';
-import {CopyChecks} from '../tables/copy_checks.js';
+import type {PeerDatagram, PeerLocation} from '../model/peer_message.js';
+import {FreshnessChecker} from '../tables/freshness_checker.js';
 import {EngineGroups} from './engine_groups.js';
 import {
   HostTracker,
@@ -22,10 +22,10 @@
   type PeerState,
 } from './host_tracker.js';
 import {DatagramHandlers} from './datagram_handlers.js';
-import {NewsSpreader} from '../tables/news_spreader.js';
+import {UpdateBroadcaster} from '../tables/update_broadcaster.js';
 import type {HostSummary} from './host_summaries.js';
 import {SeedSchedule} from './seed_schedule.js';
-import type {StoreStanding} from '../tables/store_standing.js';
+import type {StoreStatus} from '../tables/store_status.js';
 import {
   UsePublisher,
   type SendToHosts,
@@ -40,7 +40,7 @@
   readonly seeds: readonly string[];
   /** The name of the deployment. */
   readonly deployment: string;
-  readonly openDatagrams: OpenDatagramPort;
+  readonly openDatagrams: DatagramPortFactory;
   /** Counts a dropped datagram. */
   readonly recordDrop: (reason: DropReason) => void;
 }
@@ -64,9 +64,9 @@
   readonly handlers = new DatagramHandlers();
   private readonly tracker: HostTracker;
   private readonly socket: DatagramPort;
-  private readonly news: NewsSpreader;
+  private readonly news: UpdateBroadcaster;
   private readonly seeds: SeedSchedule;
-  private readonly checks: CopyChecks;
+  private readonly checks: FreshnessChecker;
 
   constructor(private readonly parts: PeersParts) {
     const {name, place, tables, random, log, clock} = parts;
@@ -77,7 +77,7 @@
     this.tracker = new HostTracker({...parts, hasSeeds}, send);
     const {view} = this.tracker;
     this.groups = new EngineGroups(name, place, view, random);
-    this.news = new NewsSpreader({
+    this.news = new UpdateBroadcaster({
       tables,
       loader: this.tracker.loader,
       targets: this.groups,
@@ -88,7 +88,7 @@
       send,
       log,
     });
-    this.checks = new CopyChecks({
+    this.checks = new FreshnessChecker({
       ...parts,
       standing: this.standing,
       countHosts: () => view.countKnown() + 1,
@@ -124,7 +124,7 @@
   }
 
   /** Which hosts read the store, and whether it is reachable. */
-  get standing(): StoreStanding {
+  get standing(): StoreStatus {
     return this.tracker.standing;
   }
 
@@ -134,7 +134,7 @@
   }
 
   /** The addresses and the failure domain of this host. */
-  get place(): PeerPlace {
+  get place(): PeerLocation {
     return this.parts.place;
   }
 
@@ -157,7 +157,7 @@
   }
 
   /** Lists the hosts that serve callers, including this one if it is ready. */
-  listServing(): PeerPlace[] {
+  listServing(): PeerLocation[] {
     const places = this.tracker.view.listServing().map(({place}) => place);
     if (this.tracker.getState() === 'ready') places.push(this.place);
     return places;
@@ -217,7 +217,7 @@
 
   /** Sends to hosts by name; unknown hosts are skipped. */
   sendToNames(names: readonly string[], datagram: PeerDatagram): void {
-    const hosts: KnownHost<PeerPlace>[] = [];
+    const hosts: KnownHost<PeerLocation>[] = [];
     for (const name of names) {
       const host = this.tracker.view.find(name);
       if (host !== undefined) hosts.push(host);
@@ -282,7 +282,7 @@
   }
 
   private sendTo(
-    hosts: readonly KnownHost<PeerPlace>[],
+    hosts: readonly KnownHost<PeerLocation>[],
     datagram: PeerDatagram,
   ): void {
     if (hosts.length === 0) return;
--- a/packages/gateway/src/services/permit_grants.ts
+++ b/packages/gateway/src/services/permit_grants.ts
@@ -1,33 +1,33 @@
 /** Issues permits to all hosts for the endpoints whose issuer this host is. */
 import {
-  computePauseMs,
+  computePermitRetryDelayMs,
   NO_SENDS,
   PermitBucket,
-  ReturnQueue,
+  RetrySchedule,
   type PermitIssuers,
 } from '@irisdock/decisions';
 import type {Clock} from '@irisdock/kernel';
 import type {
-  PermitAnswerDatagram,
-  PermitAskDatagram,
-  ToldLimit,
+  PermitResponseDatagram,
+  PermitRequestDatagram,
+  ReportedLimit,
 } from '../model/limit_datagram.js';
 import type {KnownLimits} from './known_limits.js';
 
 /** A permit request without the fields that only other hosts need. */
-export type PermitRequest = Omit<PermitAskDatagram, 'kind' | 'limit'>;
+export type PermitRequest = Omit<PermitRequestDatagram, 'kind' | 'limit'>;
 
 interface SentAnswer {
   readonly incarnation: number;
   readonly at: number;
-  readonly answer: PermitAnswerDatagram;
+  readonly answer: PermitResponseDatagram;
 }
 
 /** The issuer's state of one endpoint. */
 interface IssuedPermits {
   readonly bucket: PermitBucket;
   /** Schedules the retries of refused callers. */
-  readonly retries: ReturnQueue;
+  readonly retries: RetrySchedule;
   /** The last answer to each host, by the host's name. */
   readonly answers: Map<string, SentAnswer>;
 }
@@ -55,14 +55,14 @@
   /**
    * Answers a permit request; a repeated request gets the same answer again.
    */
-  decide(instanceId: string, request: PermitRequest): PermitAnswerDatagram {
+  decide(instanceId: string, request: PermitRequest): PermitResponseDatagram {
     const now = this.clock.getNow();
     const perSecond = this.limits.findRate(instanceId);
     if (perSecond === undefined) {
       this.issued.delete(instanceId);
       return this.createAnswer(instanceId, request, true);
     }
-    const share = this.issuers.computePart(instanceId, perSecond, now);
+    const share = this.issuers.computeShare(instanceId, perSecond, now);
     if (share === 0) {
       // The next issuer does not know what this host granted, so each issuer
       // starts without permits; also this host if it becomes the issuer again.
@@ -81,15 +81,19 @@
       ...this.createAnswer(instanceId, request, true),
       granted,
       waitMs,
-      pauseMs: computePauseMs(countRequesters(permits, now), perSecond, waitMs),
-      lastReturnMs: permits.retries.computeLastMs(now),
+      pauseMs: computePermitRetryDelayMs(
+        countRequesters(permits, now),
+        perSecond,
+        waitMs,
+      ),
+      lastReturnMs: permits.retries.computeLastDelayMs(now),
     };
     permits.answers.set(request.name, {incarnation, at: now, answer});
     return answer;
   }
 
   /** Creates this host's view of an endpoint's limit, for other hosts. */
-  createLimitSummary(instanceId: string): ToldLimit {
+  createLimitSummary(instanceId: string): ReportedLimit {
     const report = this.limits.findReport(instanceId);
     const now = this.clock.getNow();
     const ageMs = report === undefined ? 0 : Math.max(0, now - report.at);
@@ -105,7 +109,7 @@
     instanceId: string,
     {number}: PermitRequest,
     isIssuer: boolean,
-  ): PermitAnswerDatagram {
+  ): PermitResponseDatagram {
     return {
       kind: 'permit-answer',
       number,
@@ -122,7 +126,7 @@
     let permits = this.issued.get(instanceId);
     if (permits === undefined) {
       const bucket = new PermitBucket(now);
-      permits = {bucket, retries: new ReturnQueue(), answers: new Map()};
+      permits = {bucket, retries: new RetrySchedule(), answers: new Map()};
       this.issued.set(instanceId, permits);
     }
     return permits;
--- a/packages/gateway/src/services/permit_queue.ts
+++ b/packages/gateway/src/services/permit_queue.ts
@@ -3,7 +3,11 @@
  * are requested together, one request at a time: a host has at most one request
  * under way, however many sends wait.
  */
-import {NO_SENDS, type SendCounts, type SendUse} from '@irisdock/decisions';
+import {
+  NO_SENDS,
+  type SendCounts,
+  type SendPriority,
+} from '@irisdock/decisions';
 import type {Clock} from '@irisdock/kernel';
 import {
   SendPermit,
@@ -49,7 +53,7 @@
 }
 
 interface Waiter {
-  readonly use: SendUse;
+  readonly use: SendPriority;
   readonly target: SendTarget;
   readonly finish: (admission: SendAdmission) => void;
 }
@@ -76,7 +80,7 @@
   }
 
   /** Waits for a permit, for one request to the issuer. */
-  async wait(target: SendTarget, use: SendUse): Promise<SendAdmission> {
+  async wait(target: SendTarget, use: SendPriority): Promise<SendAdmission> {
     const isPaused = this.parts.clock.getNow() < this.pausedUntil;
     if (isPaused && use !== 'begun') return this.createHold(target);
     return new Promise((finish) => {
--- a/packages/gateway/src/services/rollout_runner.ts
+++ b/packages/gateway/src/services/rollout_runner.ts
@@ -90,7 +90,7 @@
       if (state?.revision !== report.revision) continue;
       state.addReport(name, report);
       if (state.setPhase(report.phase)) {
-        this.parts.rollouts.handleAdvanced(state);
+        this.parts.rollouts.handlePhaseChange(state);
       }
       // A host that started after the end does not learn of it otherwise.
       if (report.phase !== state.phase) this.publishPhase(state, [name]);
@@ -101,7 +101,7 @@
   acceptPhase({service, revision, phase}: RolloutPhaseDatagram): void {
     const state = this.parts.rollouts.find(service);
     if (state?.revision !== revision || !state.setPhase(phase)) return;
-    this.parts.rollouts.handleAdvanced(state);
+    this.parts.rollouts.handlePhaseChange(state);
   }
 
   /**
--- a/packages/gateway/src/services/run_lease_client.ts
+++ b/packages/gateway/src/services/run_lease_client.ts
@@ -4,10 +4,10 @@
  */
 import type {Clock} from '@irisdock/kernel';
 import type {
-  LeaseAnswerDatagram,
-  LeaseAskDatagram,
+  LeaseResponseDatagram,
+  LeaseRequestDatagram,
   LeasedRun,
-  LeaseEndDatagram,
+  LeaseReleaseDatagram,
 } from '../model/run_lease_datagram.js';
 import type {
   LeaseOutcome,
@@ -43,8 +43,8 @@
 /** Acquires, renews and releases the leases of this host's runs. */
 export class RunLeaseClient implements RunLeases, LeaseDatagramHandler {
   private readonly requests: PeerRequests<
-    LeaseAskDatagram,
-    LeaseAnswerDatagram
+    LeaseRequestDatagram,
+    LeaseResponseDatagram
   >;
   private lastRunNumber = 0;
 
@@ -57,7 +57,7 @@
 
   async acquire(request: LeaseRequest): Promise<LeaseOutcome> {
     const {clock} = this.parts;
-    const {content, signal, mostMs, isNeeded} = request;
+    const {content, signal, maxWaitMs: mostMs, isNeeded} = request;
     const run = this.createRun(content);
     const startedAt = clock.getNow();
     let answeredAt = startedAt;
@@ -89,16 +89,16 @@
     this.parts.issuer.dropExpired();
   }
 
-  acceptLeaseRequest(request: LeaseAskDatagram): void {
+  acceptLeaseRequest(request: LeaseRequestDatagram): void {
     const answer = this.parts.issuer.decide(request);
     this.parts.peers.sendToNames([request.name], answer);
   }
 
-  acceptLeaseAnswer(answer: LeaseAnswerDatagram): void {
+  acceptLeaseAnswer(answer: LeaseResponseDatagram): void {
     this.requests.accept(answer);
   }
 
-  acceptLeaseRelease(end: LeaseEndDatagram): void {
+  acceptLeaseRelease(end: LeaseReleaseDatagram): void {
     this.parts.issuer.release(end);
   }
 
@@ -111,11 +111,11 @@
   private async poll(
     run: LeasedRun,
     isRenewal: boolean,
-  ): Promise<LeaseAnswerDatagram | undefined> {
+  ): Promise<LeaseResponseDatagram | undefined> {
     const {issuer, identity} = this.parts;
     const name = issuer.findIssuer(run.content);
     if (name === undefined) return undefined;
-    const createRequest = (number: number): LeaseAskDatagram => {
+    const createRequest = (number: number): LeaseRequestDatagram => {
       return {kind: 'lease-ask', ...run, number, isRenewal};
     };
     if (name === identity.name) return issuer.decide(createRequest(0));
--- a/packages/gateway/src/services/run_lease_issuer.ts
+++ b/packages/gateway/src/services/run_lease_issuer.ts
@@ -7,8 +7,8 @@
 import {RUN_LEASE_MS, RunLeaseTable, sortIssuers} from '@irisdock/decisions';
 import type {Clock} from '@irisdock/kernel';
 import type {
-  LeaseAnswerDatagram,
-  LeaseAskDatagram,
+  LeaseResponseDatagram,
+  LeaseRequestDatagram,
   LeasedRun,
 } from '../model/run_lease_datagram.js';
 import type {CrashRecords} from '../serving/crash_records.js';
@@ -40,7 +40,7 @@
   }
 
   /** Answers a request or a renewal. */
-  decide(request: LeaseAskDatagram): LeaseAnswerDatagram {
+  decide(request: LeaseRequestDatagram): LeaseResponseDatagram {
     const {crashes, clock} = this.parts;
     const {content, number, isRenewal} = request;
     const now = clock.getNow();
--- a/packages/gateway/src/services/send_limits.ts
+++ b/packages/gateway/src/services/send_limits.ts
@@ -4,18 +4,18 @@
  * docs/design/endpoint_limits.md.
  */
 import {
-  decideRate,
+  computeEnforcedRate,
   hashText,
   PermitIssuers,
   type LimitReport,
-  type SendUse,
+  type SendPriority,
 } from '@irisdock/decisions';
 import {getErrorText, type Clock, type Logger} from '@irisdock/kernel';
 import type {
   LimitsDatagram,
-  PermitAnswerDatagram,
-  PermitAskDatagram,
-  ToldLimit,
+  PermitResponseDatagram,
+  PermitRequestDatagram,
+  ReportedLimit,
 } from '../model/limit_datagram.js';
 import {
   SendPermit,
@@ -91,8 +91,8 @@
   private readonly issuers: PermitIssuers;
   private readonly grants: PermitGrants;
   private readonly requests: PeerRequests<
-    PermitAskDatagram,
-    PermitAnswerDatagram
+    PermitRequestDatagram,
+    PermitResponseDatagram
   >;
   private readonly publisher: LimitPublisher;
   private readonly queues = new Map<string, PermitQueue>();
@@ -139,7 +139,7 @@
 
   admit(
     target: SendTarget,
-    use: SendUse,
+    use: SendPriority,
   ): Promise<SendAdmission> | SendAdmission {
     const perSecond = this.known.findRate(target.instanceId);
     if (perSecond === undefined) return new SendPermit(target);
@@ -202,7 +202,7 @@
     }
   }
 
-  acceptPermitRequest(request: PermitAskDatagram): void {
+  acceptPermitRequest(request: PermitRequestDatagram): void {
     const {instanceId} = request.limit;
     const outcome = this.acceptRemoteReport(request.limit, request.name);
     this.handleOutcome(instanceId, outcome, this.isIssuer(instanceId));
@@ -210,7 +210,7 @@
     this.parts.peers.sendToNames([request.name], answer);
   }
 
-  acceptPermitAnswer(answer: PermitAnswerDatagram): void {
+  acceptPermitAnswer(answer: PermitResponseDatagram): void {
     this.requests.accept(answer);
   }
 
@@ -311,7 +311,7 @@
   }
 
   private acceptRemoteReport(
-    {instanceId, perSecond, ageMs}: ToldLimit,
+    {instanceId, perSecond, ageMs}: ReportedLimit,
     source: string,
   ): ReportOutcome {
     const at = this.parts.clock.getNow() - ageMs;
@@ -321,7 +321,7 @@
       return 'known';
     }
     const rate = isLimited
-      ? decideRate({kind: 'rate', perSecond}, undefined)
+      ? computeEnforcedRate({kind: 'rate', perSecond}, undefined)
       : undefined;
     const report: LimitReport = {perSecond: rate, at};
     return this.known.accept(instanceId, report, source);
@@ -340,7 +340,7 @@
     this.recordsHash = recordsHash;
     this.possiblyAlive = possiblyAlive;
     const names = peers.listReadyNames();
-    this.issuers.update({names, mayLive: possiblyAlive});
+    this.issuers.update({names, possiblyAlive});
   }
 
   /** Removes endpoints that are gone and limits that ended long ago. */
--- a/packages/gateway/src/services/use_publisher.ts
+++ b/packages/gateway/src/services/use_publisher.ts
@@ -7,23 +7,26 @@
 import type {HostView, KnownHost} from '@irisdock/decisions';
 import type {Clock} from '@irisdock/kernel';
 import type {
-  LossDatagram,
+  EndpointUnreachableDatagram,
   PeerDatagram,
-  PeerPlace,
-  PeerUse,
-  ToldUse,
-  UsesDatagram,
+  PeerLocation,
+  PeerUsage,
+  EndpointUsageReport,
+  UsageDatagram,
 } from '../model/peer_message.js';
 import type {EngineGroups, EngineList} from './engine_groups.js';
 
 /** What a host runs on endpoints, by instance id. */
-export type HostUses = Readonly<Record<string, PeerUse>>;
+export type HostUses = Readonly<Record<string, PeerUsage>>;
 
 /** Lists what this host runs and stores what other hosts run. */
 export interface UseRegistry extends EngineList {
   listLocalUses(): HostUses;
   /** Finds what all hosts except the given one run on an engine. */
-  findUseExcept(instanceId: string, host: string): ToldUse | undefined;
+  findUseExcept(
+    instanceId: string,
+    host: string,
+  ): EndpointUsageReport | undefined;
   applyUses(host: string, uses: HostUses): void;
   /** Records that an engine accepted no connection of another host. */
   applyLoss(instanceId: string): void;
@@ -31,7 +34,7 @@
 
 /** Sends a datagram to hosts. */
 export type SendToHosts = (
-  hosts: readonly KnownHost<PeerPlace>[],
+  hosts: readonly KnownHost<PeerLocation>[],
   datagram: PeerDatagram,
 ) => void;
 
@@ -70,7 +73,7 @@
 
   constructor(
     private readonly owner: UsePublisherOwner,
-    private readonly view: HostView<PeerPlace>,
+    private readonly view: HostView<PeerLocation>,
     private readonly groups: EngineGroups,
     private readonly send: SendToHosts,
   ) {}
@@ -99,7 +102,7 @@
   }
 
   /** Handles another host's report that an engine accepted no connection. */
-  acceptLoss({instanceId}: LossDatagram): void {
+  acceptLoss({instanceId}: EndpointUnreachableDatagram): void {
     this.registry?.applyLoss(instanceId);
   }
 
@@ -111,7 +114,7 @@
   }
 
   /** Handles a report of another host; outdated ones are ignored. */
-  accept({name, incarnation, sequence, uses}: UsesDatagram): void {
+  accept({name, incarnation, sequence, uses}: UsageDatagram): void {
     const [lastIncarnation, lastSequence] = this.sequences.get(name) ?? [0, 0];
     if (incarnation === lastIncarnation && sequence <= lastSequence) return;
     this.sequences.set(name, [incarnation, sequence]);
@@ -151,7 +154,9 @@
   }
 
   /** Lists this host's group and the home groups of the given engines. */
-  private listTargets(instanceIds: Iterable<string>): KnownHost<PeerPlace>[] {
+  private listTargets(
+    instanceIds: Iterable<string>,
+  ): KnownHost<PeerLocation>[] {
     const hosts = new Set(this.groups.listGroup());
     for (const instanceId of instanceIds) {
       if (this.groups.isHome(instanceId)) continue;
--- a/packages/gateway/src/services/use_queries.ts
+++ b/packages/gateway/src/services/use_queries.ts
@@ -6,11 +6,11 @@
 import type {HostView} from '@irisdock/decisions';
 import {getShuffled, type Clock, type Random} from '@irisdock/kernel';
 import type {
-  AnswerDatagram,
+  UsageReplyDatagram,
   PeerDatagram,
-  PeerPlace,
-  QuestionDatagram,
-  ToldUse,
+  PeerLocation,
+  UsageQueryDatagram,
+  EndpointUsageReport,
 } from '../model/peer_message.js';
 import type {EngineGroups} from './engine_groups.js';
 import type {SendToHosts, UseRegistry} from './use_publisher.js';
@@ -23,7 +23,7 @@
 const ANSWER_TIMEOUT_MS = 30;
 
 interface PendingQuery {
-  readonly handleAnswer: (uses: readonly ToldUse[]) => void;
+  readonly handleAnswer: (uses: readonly EndpointUsageReport[]) => void;
 }
 
 /** Sends and answers queries. */
@@ -35,7 +35,7 @@
 
   constructor(
     private readonly ownName: string,
-    private readonly view: HostView<PeerPlace>,
+    private readonly view: HostView<PeerLocation>,
     private readonly groups: EngineGroups,
     private readonly clock: Clock,
     private readonly random: Random,
@@ -45,7 +45,7 @@
   /**
    * Asks what runs on engines; engines without an answer in time are omitted.
    */
-  async poll(instanceIds: readonly string[]): Promise<ToldUse[]> {
+  async poll(instanceIds: readonly string[]): Promise<EndpointUsageReport[]> {
     const answers = await Promise.all(
       instanceIds.map((instanceId) => this.pollOne(instanceId)),
     );
@@ -53,11 +53,11 @@
   }
 
   /** Answers a query of another host. */
-  acceptQuery(query: QuestionDatagram): void {
+  acceptQuery(query: UsageQueryDatagram): void {
     const sender = this.view.find(query.name);
     const {registry} = this;
     if (sender === undefined || registry === undefined) return;
-    const uses: ToldUse[] = [];
+    const uses: EndpointUsageReport[] = [];
     for (const instanceId of query.instanceIds) {
       const use = registry.findUseExcept(instanceId, query.name);
       if (use !== undefined) uses.push(use);
@@ -67,11 +67,13 @@
   }
 
   /** Passes an answer to the query with its number. */
-  acceptAnswer({number, uses}: AnswerDatagram): void {
+  acceptAnswer({number, uses}: UsageReplyDatagram): void {
     this.pending.get(number)?.handleAnswer(uses);
   }
 
-  private async pollOne(instanceId: string): Promise<ToldUse | undefined> {
+  private async pollOne(
+    instanceId: string,
+  ): Promise<EndpointUsageReport | undefined> {
     const homes = this.groups.listHomeHosts(instanceId);
     const [host] = getShuffled(homes, this.random);
     if (host === undefined) return undefined;
@@ -84,7 +86,7 @@
       instanceIds: [instanceId],
     };
     const answered = new AbortController();
-    let use: ToldUse | undefined;
+    let use: EndpointUsageReport | undefined;
     this.pending.set(number, {
       handleAnswer: (uses) => {
         use = uses.find((candidate) => candidate.instanceId === instanceId);
--- a/packages/gateway/src/serving/stream_attempt.ts
+++ b/packages/gateway/src/serving/stream_attempt.ts
@@ -3,29 +3,29 @@
  * its events or to its loss. Only whole events leave it, each once.
  */
 import type {IncomingMessage} from 'node:http';
-import {EventSplitter, type WholeEvent} from '@irisdock/decisions';
-import {findAnswerFault} from '../channels/answer_check.js';
+import {EventSplitter, type ServerSentEvent} from '@irisdock/decisions';
+import {findResponseFault} from '../channels/response_check.js';
 import type {
-  EndpointAnswer,
-  EndpointSend,
+  EndpointResponse,
+  EndpointRequest,
 } from '../channels/endpoint_client.js';
-import type {HeaderLines, MemorySource} from '../model/request_terms.js';
-import {readPlainAnswer} from './answer_reading.js';
+import type {HeaderLines, KvCacheSource} from '../model/request_metadata.js';
+import {readPlainAnswer} from './plain_answer_reader.js';
 import type {PlainAnswer} from './caller_exchange.js';
 import type {EndpointProber} from './endpoint_prober.js';
 import type {EndpointRecord} from './endpoint_record.js';
 import type {ServingParts} from './serving_parts.js';
-import {SilenceWatch, type StreamAims} from './silence_watch.js';
+import {SilenceDetector, type StreamTargets} from './silence_detector.js';
 
 /** Where and how an attempt runs. */
 export interface AttemptPlan {
   readonly endpoint: EndpointRecord;
   readonly backup: EndpointRecord | undefined;
-  readonly memorySource: MemorySource | undefined;
+  readonly memorySource: KvCacheSource | undefined;
 }
 
 /** What an attempt sends. */
-export interface AttemptSend extends Omit<EndpointSend, 'signal'> {
+export interface AttemptSend extends Omit<EndpointRequest, 'signal'> {
   readonly requestId: string;
 }
 
@@ -49,7 +49,7 @@
   /** Takes the head of the answer, before the first events. */
   handleHead(status: number, lines: HeaderLines): void;
   /** Passes events on; resolves when more can be taken. */
-  handleEvents(events: readonly WholeEvent[]): Promise<void> | undefined;
+  handleEvents(events: readonly ServerSentEvent[]): Promise<void> | undefined;
 }
 
 /** From this status on an answer to a stream is no stream. */
@@ -58,14 +58,14 @@
 /** One attempt. */
 export class StreamAttempt {
   private readonly controller = new AbortController();
-  private readonly watch: SilenceWatch;
+  private readonly watch: SilenceDetector;
   private lostDetail: string | undefined;
 
   constructor(
     private readonly parts: ServingParts,
     prober: EndpointProber,
     private readonly plan: AttemptPlan,
-    aims: StreamAims,
+    aims: StreamTargets,
     private readonly listener: AttemptListener,
     private readonly stop: AbortSignal,
   ) {
@@ -74,7 +74,7 @@
     };
     const {endpoint} = plan;
     const {clock} = parts;
-    this.watch = new SilenceWatch(endpoint, prober, aims, clock, handleLost);
+    this.watch = new SilenceDetector(endpoint, prober, aims, clock, handleLost);
   }
 
   /** Ends the attempt as lost. */
@@ -87,7 +87,7 @@
   async run(send: AttemptSend): Promise<AttemptResult> {
     const signal = AbortSignal.any([this.stop, this.controller.signal]);
     this.watch.start();
-    const ignoreGone = this.plan.endpoint.watchGone((cause) => {
+    const ignoreGone = this.plan.endpoint.watchRemoval((cause) => {
       if (cause === 'restarted') this.end('its engine started anew');
     });
     try {
@@ -106,11 +106,11 @@
   }
 
   private async readAnswer(
-    answer: EndpointAnswer,
+    answer: EndpointResponse,
     requestId: string,
   ): Promise<AttemptResult> {
-    const {status, terms, lines} = answer;
-    const fault = findAnswerFault(answer, requestId);
+    const {status, metadata: terms, lines} = answer;
+    const fault = findResponseFault(answer, requestId);
     if (fault !== undefined) {
       answer.close();
       return {kind: 'lost', mayHaveRun: true, detail: fault};
@@ -125,11 +125,11 @@
     return this.readEvents(answer);
   }
 
-  private async readFailure(answer: EndpointAnswer): Promise<AttemptResult> {
+  private async readFailure(answer: EndpointResponse): Promise<AttemptResult> {
     const {endpoint} = this.plan;
     const {endpoints, successors} = this.parts;
     const reading = await readPlainAnswer(endpoints, endpoint, answer);
-    const {endpointId = endpoint.endpointId} = answer.terms;
+    const {endpointId = endpoint.endpointId} = answer.metadata;
     const isOther = endpointId !== endpoint.endpointId;
     if (reading.kind === 'refused' && isOther) {
       await successors.accept(endpoint, endpointId);
@@ -138,7 +138,7 @@
     return {kind: 'failed', answer: reading.answer};
   }
 
-  private async readEvents(answer: EndpointAnswer): Promise<AttemptResult> {
+  private async readEvents(answer: EndpointResponse): Promise<AttemptResult> {
     const splitter = new EventSplitter();
     await this.passEvents(answer.message, splitter);
     if (this.stop.aborted) {
@@ -147,7 +147,7 @@
     }
     // The end of a stream without chunks may be a crash of its engine.
     const isLost = this.lostDetail !== undefined || !answer.isFramed;
-    if (isLost || !answer.isWhole() || splitter.pendingBytes > 0) {
+    if (isLost || !answer.isComplete() || splitter.pendingBytes > 0) {
       answer.close();
       const detail = this.lostDetail ?? 'its stream was cut';
       return {kind: 'lost', mayHaveRun: true, detail};
@@ -200,7 +200,7 @@
 }
 
 /** Whether the engine may have run what the attempt asked for. */
-export function hasPerhapsRun(result: AttemptResult): boolean {
+export function hasPossiblyRun(result: AttemptResult): boolean {
   if (result.kind === 'refused') return false;
   if (result.kind === 'lost' || result.kind === 'stopped') {
     return result.mayHaveRun;
