--- a/packages/gateway/src/services/crash_broadcaster.ts
+++ b/packages/gateway/src/services/crash_broadcaster.ts
@@ -42,7 +42,7 @@
     });
   }
 
-  /** Sends that a content does not crash endpoints. */
+  /** Sends that a content was cleared: it does not crash endpoints. */
   publishCleared(content: string): void {
     this.sendToAll({kind: 'cleared', content});
     this.tasks.plan(REPEAT_MS, () => {
--- a/packages/gateway/src/services/crash_pages.ts
+++ b/packages/gateway/src/services/crash_pages.ts
@@ -39,7 +39,10 @@
     return true;
   }
   const actor = String(message.headers[ACTOR_HEADER] ?? 'unknown');
-  log.writeInfo('An operator removed a content.', {content, actor});
+  log.writeInfo('Operator removed a content from the crash list.', {
+    content,
+    actor,
+  });
   crashes.dropContent(content, `removed by ${actor}`);
   sendJson(response, 200, {content});
   return true;
--- a/packages/gateway/src/services/crash_row_index.ts
+++ b/packages/gateway/src/services/crash_row_index.ts
@@ -18,10 +18,10 @@
     for (const {key, value} of rows) {
       const crash = parseCrashKey(key);
       if (crash === undefined) continue;
-      const isThere = value !== undefined;
-      if (isThere) this.add(crash.content, key);
+      const isPresent = value !== undefined;
+      if (isPresent) this.add(crash.content, key);
       else this.delete(crash.content, key);
-      found.push({crash, isPresent: isThere});
+      found.push({crash, isPresent});
     }
     return found;
   }
--- a/packages/gateway/src/services/crashes.ts
+++ b/packages/gateway/src/services/crashes.ts
@@ -99,8 +99,8 @@
   index: CrashRowIndex,
   records: CrashRecords,
 ): void {
-  for (const {crash, isPresent: isThere} of index.apply(rows)) {
-    if (isThere) records.acceptCrashes([crash]);
+  for (const {crash, isPresent} of index.apply(rows)) {
+    if (isPresent) records.acceptCrashes([crash]);
     else records.dropCrash(crash);
   }
 }
--- a/packages/gateway/src/services/endpoint_gate.ts
+++ b/packages/gateway/src/services/endpoint_gate.ts
@@ -48,15 +48,15 @@
 
   admit(
     target: SendTarget,
-    use: SendPriority,
+    priority: SendPriority,
   ): Promise<SendAdmission> | SendAdmission {
     const {limits} = this.parts;
-    const hold = this.findHold(target, use);
+    const hold = this.findHold(target, priority);
     if (hold !== undefined) return hold;
-    const admission = limits.admit(target, use);
+    const admission = limits.admit(target, priority);
     if (!(admission instanceof Promise)) return admission;
     // The endpoint may have made an announcement while the send waited.
-    return admission.then((later) => this.findHold(target, use) ?? later);
+    return admission.then((later) => this.findHold(target, priority) ?? later);
   }
 
   takeUnconfirmed<T extends SendTarget>(targets: Iterable<T>): T | undefined {
@@ -83,7 +83,7 @@
 
   private findHold(
     target: SendTarget,
-    use: SendPriority,
+    priority: SendPriority,
   ): SendHold | undefined {
     const {endpoints, clock} = this.parts;
     const {instanceId} = target;
@@ -93,7 +93,7 @@
       return {kind: 'held', target, reason: 'paused', waitMs};
     }
     // Calls about requests that run there still reach a leaving endpoint.
-    if (use === 'aside') return undefined;
+    if (priority === 'aside') return undefined;
     if (endpoints.find(instanceId)?.entry.state !== 'leaving') return undefined;
     return {kind: 'held', target, reason: 'leaving', waitMs: Infinity};
   }
--- a/packages/gateway/src/services/engine_groups.ts
+++ b/packages/gateway/src/services/engine_groups.ts
@@ -1,7 +1,8 @@
 /**
  * Computes the group of this host and the home group of each engine from the
- * live hosts and the known engines. The result is cached until one of them
- * changes.
+ * live hosts and the known engines. The hosts of an engine's home group are
+ * informed of all that runs on it. The result is cached until the hosts or
+ * engines change.
  */
 import {
   computeHomeGroups,
--- a/packages/gateway/src/services/host_pages.ts
+++ b/packages/gateway/src/services/host_pages.ts
@@ -6,7 +6,7 @@
 import type {Peers} from './peer_hosts.js';
 
 const PATH = '/v1/hosts';
-const MILLI = 1000;
+const MS_PER_SECOND = 1000;
 
 /** Dependencies of the page. */
 export interface HostPagesParts {
@@ -30,7 +30,9 @@
     configuration: host.configuration ?? null,
     heardMs: undefined,
     heardSecondsAgo:
-      host.heardMs === undefined ? null : Math.round(host.heardMs / MILLI),
+      host.heardMs === undefined
+        ? null
+        : Math.round(host.heardMs / MS_PER_SECOND),
   }));
   sendJson(response, 200, {
     shownBy: peers.name,
--- a/packages/gateway/src/services/host_phase.ts
+++ b/packages/gateway/src/services/host_phase.ts
@@ -60,7 +60,7 @@
 /** The key of the service. */
 export const HOST_PHASE = createServiceKey<HostPhase>('phase');
 
-const MILLI = 1000;
+const MS_PER_SECOND = 1000;
 
 /** Declares the service. */
 export const HOST_PHASE_SERVICE = createService({
@@ -80,7 +80,7 @@
       context.clock,
       () => configuration.isLoaded,
       (now) => standing.getConfigurationAgeMs(now),
-      settings.graceSeconds * MILLI,
+      settings.graceSeconds * MS_PER_SECOND,
     );
     return {api};
   },
--- a/packages/gateway/src/services/host_summaries.ts
+++ b/packages/gateway/src/services/host_summaries.ts
@@ -47,5 +47,5 @@
     host.isStoreAway,
     (host.configuration ?? 0) < newest,
   ];
-  return faults.filter((isWrong) => isWrong).length;
+  return faults.filter((isFault) => isFault).length;
 }
--- a/packages/gateway/src/services/limit_pages.ts
+++ b/packages/gateway/src/services/limit_pages.ts
@@ -6,7 +6,7 @@
 import type {SendLimits} from './send_limits.js';
 
 const PATH = '/v1/limits';
-const MILLI = 1000;
+const MS_PER_SECOND = 1000;
 
 /** Dependencies of the page. */
 export interface LimitPagesParts {
@@ -37,7 +37,7 @@
       service: entry?.service ?? null,
       address: entry?.address ?? null,
       perSecond,
-      sinceSeconds: Math.round((now - since) / MILLI),
+      sinceSeconds: Math.round((now - since) / MS_PER_SECOND),
       source,
       issuer: issuer ?? null,
       given,
--- a/packages/gateway/src/services/metrics_page.ts
+++ b/packages/gateway/src/services/metrics_page.ts
@@ -116,7 +116,7 @@
 }
 
 /**
- * Starts to listen; returns false when that fails, as the address is in use.
+ * Starts to listen; returns false on failure, such as an address in use.
  */
 async function tryListening({
   server,
--- a/packages/gateway/src/services/peer_hosts.ts
+++ b/packages/gateway/src/services/peer_hosts.ts
@@ -1,7 +1,8 @@
 /**
  * The other hosts and the datagrams exchanged with them: liveness
- * (`host_tracker.ts`), changes of the tables (`news_spreader.ts`), and what
- * runs on endpoints (`use_publisher.ts`, `use_queries.ts`).
+ * (`host_tracker.ts`), changes of the tables (`update_broadcaster.ts`), what
+ * runs on endpoints (`use_publisher.ts`, `use_queries.ts`), and the rest
+ * through `datagram_handlers.ts`.
  */
 import type {KnownHost} from '@irisdock/decisions';
 import {getShuffled} from '@irisdock/kernel';
@@ -64,9 +65,9 @@
   readonly handlers = new DatagramHandlers();
   private readonly tracker: HostTracker;
   private readonly socket: DatagramPort;
-  private readonly news: UpdateBroadcaster;
+  private readonly broadcaster: UpdateBroadcaster;
   private readonly seeds: SeedSchedule;
-  private readonly checks: FreshnessChecker;
+  private readonly freshnessChecker: FreshnessChecker;
 
   constructor(private readonly parts: PeersParts) {
     const {name, place, tables, random, log, clock} = parts;
@@ -77,7 +78,7 @@
     this.tracker = new HostTracker({...parts, hasSeeds}, send);
     const {view} = this.tracker;
     this.groups = new EngineGroups(name, place, view, random);
-    this.news = new UpdateBroadcaster({
+    this.broadcaster = new UpdateBroadcaster({
       tables,
       loader: this.tracker.loader,
       targets: this.groups,
@@ -88,12 +89,12 @@
       send,
       log,
     });
-    this.checks = new FreshnessChecker({
+    this.freshnessChecker = new FreshnessChecker({
       ...parts,
       standing: this.standing,
       countHosts: () => view.countKnown() + 1,
       publish: (table, shown) => {
-        this.news.publish(table, shown, false);
+        this.broadcaster.publish(table, shown, false);
       },
     });
     this.usePublisher = new UsePublisher(parts, view, this.groups, send);
@@ -117,10 +118,10 @@
   }
 
   /** Sets the registry of what runs on endpoints. */
-  set useRegistry(board: UseRegistry) {
-    this.usePublisher.registry = board;
-    this.useQueries.registry = board;
-    this.groups.engines = board;
+  set useRegistry(registry: UseRegistry) {
+    this.usePublisher.registry = registry;
+    this.useQueries.registry = registry;
+    this.groups.engines = registry;
   }
 
   /** Which hosts read the store, and whether it is reachable. */
@@ -141,9 +142,9 @@
   /** Starts to listen; resolves after the seeds were asked. */
   async start(): Promise<void> {
     await this.socket.start(this.parts.listen);
-    this.news.start();
+    this.broadcaster.start();
     await this.loadFromSeeds();
-    this.checks.start();
+    this.freshnessChecker.start();
   }
 
   /** Counts the hosts that serve, including this one. */
@@ -184,7 +185,8 @@
   }
 
   /**
-   * Counts the hosts that may be alive, also suspected ones, but not leaving.
+   * Counts the hosts that may be alive, including suspected ones and this one,
+   * except those that are leaving.
    */
   countPossiblyAlive(): number {
     let count = 1;
@@ -252,9 +254,9 @@
   }
 
   close(): void {
-    this.checks.close();
+    this.freshnessChecker.close();
     this.usePublisher.close();
-    this.news.close();
+    this.broadcaster.close();
     this.socket.close();
     this.tracker.close();
   }
@@ -306,7 +308,7 @@
         this.tracker.accept(datagram);
         return;
       case 'news':
-        this.news.accept(datagram);
+        this.broadcaster.accept(datagram);
         return;
       case 'uses':
         this.usePublisher.accept(datagram);
--- a/packages/gateway/src/services/peers.ts
+++ b/packages/gateway/src/services/peers.ts
@@ -51,7 +51,7 @@
   }),
 });
 
-const MILLI = 1000;
+const MS_PER_SECOND = 1000;
 
 function addGauges(peers: Peers, metrics: Registry, clock: Clock): void {
   new Gauge({
@@ -68,7 +68,7 @@
     registers: [metrics],
     collect() {
       const ageMs = peers.standing.getConfigurationAgeMs(clock.getNow());
-      this.set(ageMs / MILLI);
+      this.set(ageMs / MS_PER_SECOND);
     },
   });
 }
--- a/packages/gateway/src/services/permit_queue.ts
+++ b/packages/gateway/src/services/permit_queue.ts
@@ -53,12 +53,12 @@
 }
 
 interface Waiter {
-  readonly use: SendPriority;
+  readonly priority: SendPriority;
   readonly target: SendTarget;
   readonly finish: (admission: SendAdmission) => void;
 }
 
-const MILLI = 1000;
+const MS_PER_SECOND = 1000;
 
 /** Queues the sends to one endpoint until they get permits. */
 export class PermitQueue {
@@ -80,11 +80,14 @@
   }
 
   /** Waits for a permit, for one request to the issuer. */
-  async wait(target: SendTarget, use: SendPriority): Promise<SendAdmission> {
+  async wait(
+    target: SendTarget,
+    priority: SendPriority,
+  ): Promise<SendAdmission> {
     const isPaused = this.parts.clock.getNow() < this.pausedUntil;
-    if (isPaused && use !== 'begun') return this.createHold(target);
+    if (isPaused && priority !== 'begun') return this.createHold(target);
     return new Promise((finish) => {
-      this.waiting.push({use, target, finish});
+      this.waiting.push({priority: priority, target, finish});
       if (!this.isPolling) void this.pollAll();
     });
   }
@@ -93,7 +96,7 @@
   computeRetryDelayMs(perSecond: number): number {
     const now = this.parts.clock.getNow();
     const lastMs = Math.max(0, this.lastRetryAt - now);
-    const afterMs = ((this.refused + 1) * MILLI) / perSecond;
+    const afterMs = ((this.refused + 1) * MS_PER_SECOND) / perSecond;
     return Math.max(this.nextPermitAt - now, lastMs + afterMs);
   }
 
@@ -123,7 +126,7 @@
       const {refused} = this;
       this.refused = 0;
       const reply = await this.parts.poll({
-        wanted: countUses(waiters),
+        wanted: countByPriority(waiters),
         refused,
         turn: this.turn,
       });
@@ -142,16 +145,16 @@
     this.reason = reply.kind === 'given' ? 'used-up' : 'no-issuer';
     if (reply.kind === 'given') this.lastRetryAt = now + reply.lastReturnMs;
     const remaining = {...(reply.kind === 'given' ? reply.granted : NO_SENDS)};
-    for (const {use, target, finish} of waiters) {
-      if (remaining[use] > 0) {
-        remaining[use]--;
+    for (const {priority, target, finish} of waiters) {
+      if (remaining[priority] > 0) {
+        remaining[priority]--;
         this.given++;
         finish(new SendPermit(target));
         continue;
       }
       // Another issuer, if there is one, may have permits left.
       this.turn++;
-      if (use === 'usual') {
+      if (priority === 'usual') {
         const {waitMs} = reply;
         const pauseMs = reply.kind === 'given' ? reply.pauseMs : waitMs;
         this.pausedUntil = now + pauseMs;
@@ -178,8 +181,8 @@
   }
 }
 
-function countUses(waiters: readonly Waiter[]): SendCounts {
+function countByPriority(waiters: readonly Waiter[]): SendCounts {
   const counts = {...NO_SENDS};
-  for (const {use} of waiters) counts[use]++;
+  for (const {priority} of waiters) counts[priority]++;
   return counts;
 }
--- a/packages/gateway/src/services/rollouts.ts
+++ b/packages/gateway/src/services/rollouts.ts
@@ -96,7 +96,7 @@
   },
 });
 
-/** Dependencies of applying the rows with orders. */
+/** Dependencies of `applyRow`. */
 interface OrderParts {
   readonly codec: RolloutCodec;
   readonly rollouts: Rollouts;
--- a/packages/gateway/src/services/run_lease_client.ts
+++ b/packages/gateway/src/services/run_lease_client.ts
@@ -57,7 +57,7 @@
 
   async acquire(request: LeaseRequest): Promise<LeaseOutcome> {
     const {clock} = this.parts;
-    const {content, signal, maxWaitMs: mostMs, isNeeded} = request;
+    const {content, signal, maxWaitMs: maxWaitMs, isNeeded} = request;
     const run = this.createRun(content);
     const startedAt = clock.getNow();
     let answeredAt = startedAt;
@@ -74,7 +74,7 @@
       if (answer !== undefined) answeredAt = now;
       if (now - answeredAt >= MAX_SILENCE_MS) break;
       const waitMs = answer?.waitMs ?? RETRY_DELAY_MS;
-      if (now + waitMs - startedAt > mostMs) {
+      if (now + waitMs - startedAt > maxWaitMs) {
         this.release(run);
         return {kind: 'held'};
       }
--- a/packages/gateway/src/services/send_limits.ts
+++ b/packages/gateway/src/services/send_limits.ts
@@ -61,9 +61,7 @@
 /** A limit in force, as shown to operators. */
 export interface LimitStatus extends KnownLimit {
   readonly issuer: string | undefined;
-  /**
-   * Sends of this host that were admitted and held back since the first one.
-   */
+  /** Sends of this host that were admitted and held back by its queue. */
   readonly given: number;
   readonly held: number;
 }
@@ -139,11 +137,11 @@
 
   admit(
     target: SendTarget,
-    use: SendPriority,
+    priority: SendPriority,
   ): Promise<SendAdmission> | SendAdmission {
     const perSecond = this.known.findRate(target.instanceId);
     if (perSecond === undefined) return new SendPermit(target);
-    return this.getQueue(target.instanceId).wait(target, use);
+    return this.getQueue(target.instanceId).wait(target, priority);
   }
 
   /**
