--- a/packages/gateway/src/services/peer_requests.ts
+++ b/packages/gateway/src/services/peer_requests.ts
@@ -15,7 +15,8 @@
  */
 const MAX_ATTEMPTS = 3;
 /**
- * The time per attempt after which an answer is discarded as too old, in ms.
+ * The time per attempt after which an answer is discarded as too old, in ms. It
+ * exceeds the timeout, as a busy host answers late.
  */
 const MAX_AGE_PER_ATTEMPT_MS = 100;
 
@@ -55,7 +56,7 @@
       if (answered.signal.aborted) break;
     }
     this.pending.delete(number);
-    // An answer is valid only for a short time, such as a permit. One that
+    // An answer such as a permit is valid only for a short time: one that
     // arrived while this process was frozen is discarded.
     const isOld =
       this.clock.getNow() - sentAt > MAX_ATTEMPTS * MAX_AGE_PER_ATTEMPT_MS;
