--- a/packages/gateway/src/services/endpoints.ts
+++ b/packages/gateway/src/services/endpoints.ts
@@ -40,7 +40,7 @@
       isServiceConfigured: (service) => configuration.hasService(service),
       unreadableEntries: new Counter({
         name: 'irisdock_gateway_unreadable_entries_total',
-        help: 'Endpoint entries that could not be decoded, a count.',
+        help: 'Rejected endpoint entries, a count.',
         registers: [context.metrics],
       }),
       getDepartureDelayMs: () =>
--- a/packages/gateway/src/services/gateway_endpoints.ts
+++ b/packages/gateway/src/services/gateway_endpoints.ts
@@ -3,8 +3,7 @@
  * instance: an endpoint that restarts under the same id is a new instance. An
  * instance that was seen leaving never gets new work again. One whose entry
  * vanished while the store was unavailable is kept until the store had time to
- * list it again. An entry that cannot be decoded does not affect other
- * endpoints.
+ * list it again. An entry that is rejected does not affect other endpoints.
  */
 import type {ReplicaRow} from '@irisdock/decisions';
 import type {Clock, Logger} from '@irisdock/kernel';
@@ -28,7 +27,7 @@
   readonly isServiceConfigured: (service: string) => boolean;
   /** Finds an endpoint's row in the table, by the endpoint's id. */
   readonly findRow: (endpointId: string) => ReplicaRow | undefined;
-  /** Counts entries that cannot be decoded. */
+  /** Counts rejected entries: undecodable, or with the address of a host. */
   readonly unreadableEntries: Counter;
   /** How much longer endpoints whose entries vanished are kept, in ms. */
   readonly getDepartureDelayMs: () => number;
@@ -228,7 +227,7 @@
     const known = this.instances.get(key);
     if (decoded.isErr()) {
       const fault = decoded.error;
-      this.parts.log.writeWarning('Failed to decode an endpoint entry.', {
+      this.parts.log.writeWarning('Rejected an endpoint entry.', {
         key,
         fault,
       });
--- a/packages/gateway/src/services/host_tracker.ts
+++ b/packages/gateway/src/services/host_tracker.ts
@@ -153,19 +153,19 @@
     const readers = standing.listReaders();
     const createSummary = (
       record: HostRecord,
-      about: Pick<HostSummary, 'failureDomain' | 'standing'>,
-      heard: LastHeard | undefined,
+      status: Pick<HostSummary, 'failureDomain' | 'standing'>,
+      lastHeard: LastHeard | undefined,
     ): HostSummary => {
       const {name, state, isStoreAway} = record;
       const place = readers.indexOf(name);
       return {
         name,
-        ...about,
+        ...status,
         state,
         isStoreAway,
         role: place < 0 ? 'listener' : `reader ${place}`,
-        configuration: heard?.revisions.configuration,
-        heardMs: heard === undefined ? undefined : now - heard.at,
+        configuration: lastHeard?.revisions.configuration,
+        heardMs: lastHeard === undefined ? undefined : now - lastHeard.at,
       };
     };
     const {failureDomain} = this.parts.place;
@@ -173,9 +173,14 @@
     const hosts = [
       createSummary(view.ownRecord, {failureDomain, standing: 'alive'}, own),
     ];
-    for (const {record, place, standing: believed} of view.listKnown()) {
-      const about = {failureDomain: place.failureDomain, standing: believed};
-      hosts.push(createSummary(record, about, this.lastHeard.get(record.name)));
+    for (const {record, place, standing: hostStanding} of view.listKnown()) {
+      const status = {
+        failureDomain: place.failureDomain,
+        standing: hostStanding,
+      };
+      hosts.push(
+        createSummary(record, status, this.lastHeard.get(record.name)),
+      );
     }
     return sortHostSummaries(hosts);
   }
--- a/packages/gateway/src/services/peer_hosts.ts
+++ b/packages/gateway/src/services/peer_hosts.ts
@@ -93,8 +93,8 @@
       ...parts,
       standing: this.standing,
       countHosts: () => view.countKnown() + 1,
-      publish: (table, shown) => {
-        this.broadcaster.publish(table, shown, false);
+      publish: (table, update) => {
+        this.broadcaster.publish(table, update, false);
       },
     });
     this.usePublisher = new UsePublisher(parts, view, this.groups, send);
