--- a/packages/gateway/src/services/endpoint_gate.ts
+++ b/packages/gateway/src/services/endpoint_gate.ts
@@ -1,6 +1,7 @@
 /**
- * The gate before every connection to an endpoint: checks what the endpoint
- * announced (leaving, a pause), then its limit over all hosts.
+ * Admits every connection to an endpoint: checks first whether the endpoint
+ * announced that it is leaving or requested a pause, then its rate limit over
+ * all hosts.
  */
 import type {SendPriority} from '@irisdock/decisions';
 import type {Clock} from '@irisdock/kernel';
@@ -15,7 +16,7 @@
 } from '../serving/send_gate.js';
 import type {GatewayEndpoints} from './gateway_endpoints.js';
 
-/** What the gate works with. */
+/** Dependencies of the gate. */
 export interface EndpointGateParts {
   readonly limits: SendGate;
   readonly endpoints: Pick<GatewayEndpoints, 'find' | 'markLeaving' | 'pauses'>;
@@ -23,7 +24,7 @@
   readonly metrics: Registry;
 }
 
-/** The gate. */
+/** Checks announcements of endpoints before their limits. */
 export class EndpointGate implements SendGate {
   private readonly announcements: Counter;
 
@@ -31,13 +32,13 @@
     const {endpoints, metrics} = parts;
     this.announcements = new Counter({
       name: 'irisdock_gateway_announcements_total',
-      help: 'Answers by which endpoints announced something, a count, by kind.',
+      help: 'Responses with an announcement of the endpoint, a count, by kind.',
       labelNames: ['kind'],
       registers: [metrics],
     });
     new Gauge({
       name: 'irisdock_gateway_paused_endpoints',
-      help: 'Endpoints that asked this host for a pause in force, a count.',
+      help: 'Endpoints that requested a pause, now in force, from this host, a count.',
       registers: [metrics],
       collect() {
         this.set(endpoints.pauses.countPaused());
@@ -47,15 +48,15 @@
 
   admit(
     target: SendTarget,
-    use: SendPriority,
+    priority: SendPriority,
   ): Promise<SendAdmission> | SendAdmission {
     const {limits} = this.parts;
-    const hold = this.findHold(target, use);
+    const hold = this.findHold(target, priority);
     if (hold !== undefined) return hold;
-    const admission = limits.admit(target, use);
+    const admission = limits.admit(target, priority);
     if (!(admission instanceof Promise)) return admission;
-    // The endpoint may have announced something while the send waited.
-    return admission.then((later) => this.findHold(target, use) ?? later);
+    // The endpoint may have made an announcement while the send waited.
+    return admission.then((later) => this.findHold(target, priority) ?? later);
   }
 
   takeUnconfirmed<T extends SendTarget>(targets: Iterable<T>): T | undefined {
@@ -82,7 +83,7 @@
 
   private findHold(
     target: SendTarget,
-    use: SendPriority,
+    priority: SendPriority,
   ): SendHold | undefined {
     const {endpoints, clock} = this.parts;
     const {instanceId} = target;
@@ -91,8 +92,8 @@
       const waitMs = Math.max(0, end - clock.getNow());
       return {kind: 'held', target, reason: 'paused', waitMs};
     }
-    // Calls about what runs there still reach an endpoint that is leaving.
-    if (use === 'aside') return undefined;
+    // Calls about requests that run there still reach a leaving endpoint.
+    if (priority === 'aside') return undefined;
     if (endpoints.find(instanceId)?.entry.state !== 'leaving') return undefined;
     return {kind: 'held', target, reason: 'leaving', waitMs: Infinity};
   }
