--- a/packages/daemon/src/answer/answer_leg.ts
+++ b/packages/daemon/src/answer/answer_attempt.ts
@@ -17,19 +17,19 @@
   StreamOrder,
 } from '@irisdock/endpoints';
 import type {EndpointRecord} from '../endpoint/endpoint_record.js';
-import type {PassedToken} from './answer_sink.js';
-import {StallWatch, type StallKind} from './stall_watch.js';
+import type {AnswerToken} from './answer_sink.js';
+import {StallDetector, type StallKind} from './stall_detector.js';
 import type {StreamMetrics} from './stream_metrics.js';
 
 /** How a leg ended. */
-export type LegResult =
+export type AttemptResult =
   | {readonly kind: 'ended'; readonly reason: string}
   | {readonly kind: 'lost'; readonly loss: LossKind}
   /** `sent` tells whether the order may have reached the engine. */
   | {readonly kind: 'stopped'; readonly sent: boolean};
 
 /** How patient a leg is. */
-export interface LegOptions {
+export interface AttemptOptions {
   readonly bounds: StallBounds;
   /** Bounds on the wait for a first token while the engine answers, in ms. */
   readonly minFirstTokenMs: number;
@@ -39,9 +39,9 @@
 }
 
 /** What a leg works with. */
-export interface LegParts {
+export interface AttemptParts {
   readonly clock: Clock;
-  readonly options: LegOptions;
+  readonly options: AttemptOptions;
   readonly metrics: StreamMetrics;
   readonly assembler: AnswerAssembler;
   readonly endpoint: EndpointRecord;
@@ -53,7 +53,7 @@
   /** Called once the engine has accepted the order. */
   handleAccepted(): void;
   /** Passes tokens on; resolves when more can be taken. */
-  handleTokens(tokens: readonly PassedToken[]): Promise<void>;
+  handleTokens(tokens: readonly AnswerToken[]): Promise<void>;
 }
 
 /** Error kinds that say how an order was lost; the rest is a reset. */
@@ -65,9 +65,9 @@
 };
 
 /** Runs one leg. */
-export class AnswerLeg {
+export class AnswerAttempt {
   private readonly abort = new AbortController();
-  private readonly watch: StallWatch;
+  private readonly watch: StallDetector;
   private stall: StallKind | undefined;
   private hasToken = false;
   /** Whether the engine's last load says that this order may wait there. */
@@ -75,10 +75,10 @@
   private firstTokenMs: number;
   private promptChars = 0;
 
-  constructor(private readonly parts: LegParts) {
+  constructor(private readonly parts: AttemptParts) {
     const {clock, engine, options} = parts;
     this.firstTokenMs = options.firstTokenMs;
-    this.watch = new StallWatch({
+    this.watch = new StallDetector({
       clock,
       getLimits: () => {
         const {gaps, serviceGaps} = parts.endpoint;
@@ -108,7 +108,7 @@
   }
 
   /** Runs the order to its end. */
-  async run(order: StreamOrder): Promise<LegResult> {
+  async run(order: StreamOrder): Promise<AttemptResult> {
     const {engine, stop, metrics} = this.parts;
     if (stop.aborted) return {kind: 'stopped', sent: false};
     metrics.orders.inc({mode: order.mode});
@@ -135,8 +135,8 @@
     this.firstTokenMs = serviceGaps.getFirstTokenLimit({
       promptChars: this.promptChars,
       isResuming: order.mode !== 'start',
-      leastMs: minFirstTokenMs,
-      mostMs: firstTokenMs,
+      minMs: minFirstTokenMs,
+      maxMs: firstTokenMs,
     });
     this.watch.start();
   }
@@ -151,7 +151,7 @@
     serviceGaps.recordGap(gapMs);
   }
 
-  private async read(stream: EngineStream): Promise<LegResult> {
+  private async read(stream: EngineStream): Promise<AttemptResult> {
     try {
       for await (const batch of stream.batches) {
         const result = await this.handleBatch(batch);
@@ -167,12 +167,12 @@
 
   private async handleBatch(
     batch: readonly StreamEvent[],
-  ): Promise<LegResult | undefined> {
+  ): Promise<AttemptResult | undefined> {
     const gapMs = this.watch.markActive();
-    this.parts.endpoint.markLively();
+    this.parts.endpoint.markProgress();
     this.recordGap(gapMs);
-    const passed: PassedToken[] = [];
-    let result: LegResult | undefined;
+    const passed: AnswerToken[] = [];
+    let result: AttemptResult | undefined;
     for (const event of batch) {
       result = this.handleEvent(event, passed);
       if (result !== undefined) break;
@@ -187,8 +187,8 @@
 
   private handleEvent(
     event: StreamEvent,
-    passed: PassedToken[],
-  ): LegResult | undefined {
+    passed: AnswerToken[],
+  ): AttemptResult | undefined {
     const {assembler, metrics} = this.parts;
     if (event.type === 'superseded') {
       return {kind: 'lost', loss: 'superseded'};
@@ -209,14 +209,14 @@
   }
 
   /** Creates the result of an order that got no stream. */
-  private createOpenLoss(error: EndpointErrorKind): LegResult {
+  private createOpenLoss(error: EndpointErrorKind): AttemptResult {
     if (error !== 'endpoint_unreachable') return this.createLoss(LOSSES[error]);
     // Nothing was sent, whoever ended the try.
     if (this.parts.stop.aborted) return {kind: 'stopped', sent: false};
     return {kind: 'lost', loss: 'unreachable'};
   }
 
-  private createLoss(loss: LossKind | undefined): LegResult {
+  private createLoss(loss: LossKind | undefined): AttemptResult {
     if (this.stall !== undefined) return {kind: 'lost', loss: this.stall};
     if (this.parts.stop.aborted) return {kind: 'stopped', sent: true};
     return {kind: 'lost', loss: loss ?? 'reset'};
--- a/packages/daemon/src/answer/answer_driver.ts
+++ b/packages/daemon/src/answer/answer_driver.ts
@@ -19,10 +19,14 @@
 import {DAEMON_ERRORS} from '../errors.js';
 import type {Admission, Admitted} from '../services/admission.js';
 import type {EndpointDirectory} from '../services/endpoint_directory.js';
-import {AnswerLeg, type LegOptions, type LegResult} from './answer_leg.js';
-import type {AnswerSink, PassedToken} from './answer_sink.js';
+import {
+  AnswerAttempt,
+  type AttemptOptions,
+  type AttemptResult,
+} from './answer_attempt.js';
+import type {AnswerSink, AnswerToken} from './answer_sink.js';
 import type {EngineChooser} from './engine_chooser.js';
-import {getEndpointOutcome, hasPerhapsRun} from './leg_verdict.js';
+import {getEndpointOutcome, hasPossiblyRun} from './attempt_outcome.js';
 import type {RequestRecord} from './request_record.js';
 import type {StreamMetrics} from './stream_metrics.js';
 import {waitUnlessAborted} from './abortable_wait.js';
@@ -37,7 +41,7 @@
   readonly chooser: EngineChooser;
   readonly budget: RetryBudget;
   readonly metrics: StreamMetrics;
-  readonly legOptions: LegOptions;
+  readonly attemptOptions: AttemptOptions;
   /** How long an endpoint is looked for after a loss, in ms. */
   readonly resumeWaitMs: number;
 }
@@ -199,16 +203,16 @@
   private async runLeg(
     endpoint: EndpointRecord,
     attaching: boolean,
-  ): Promise<LegResult> {
+  ): Promise<AttemptResult> {
     const {engine} = endpoint.clients;
     if (engine === undefined) return {kind: 'lost', loss: 'unreachable'};
     const {record, parts} = this;
     const order = this.createOrder(attaching);
     record.endpoint = endpoint.address;
     this.assembler.setGeneration(order.generation);
-    const leg = new AnswerLeg({
+    const leg = new AnswerAttempt({
       clock: parts.clock,
-      options: parts.legOptions,
+      options: parts.attemptOptions,
       metrics: parts.metrics,
       assembler: this.assembler,
       endpoint,
@@ -224,7 +228,7 @@
       handleTokens: (tokens) => this.passOn(tokens),
     });
     const result = await leg.run(order);
-    if (hasPerhapsRun(result)) record.mayHaveRun = true;
+    if (hasPossiblyRun(result)) record.mayHaveRun = true;
     endpoint.endRequest(getEndpointOutcome(result));
     return result;
   }
@@ -252,7 +256,7 @@
     };
   }
 
-  private async passOn(tokens: readonly PassedToken[]): Promise<void> {
+  private async passOn(tokens: readonly AnswerToken[]): Promise<void> {
     const {clock, metrics} = this.parts;
     const now = clock.getNow();
     if (this.record.nextOffset === 0) {
@@ -274,7 +278,7 @@
    * Writes to the caller. A caller that reads no more, its connection half
    * open, must not hold up the newer connection by which it came back.
    */
-  private async write(tokens: readonly PassedToken[]): Promise<void> {
+  private async write(tokens: readonly AnswerToken[]): Promise<void> {
     const written = this.sink.write(tokens);
     if (written === undefined) return;
     await waitUnlessAborted(written, this.stop);
@@ -352,7 +356,7 @@
   private fail(error: KnownError): DriveOutcome {
     // Another of the caller's connections goes on with it: then no word of
     // this one says that it was not run.
-    const isTaken = this.record.lock.isWanted;
+    const isTaken = this.record.lock.hasWaiter;
     this.sink.fail(isTaken ? createTakenUp() : error);
     return 'failed';
   }
--- a/packages/daemon/src/answer/answer_sink.ts
+++ b/packages/daemon/src/answer/answer_sink.ts
@@ -2,7 +2,7 @@
 import type {KnownError} from '@irisdock/kernel';
 
 /** A token on its way to the caller. */
-export interface PassedToken {
+export interface AnswerToken {
   readonly offset: number;
   readonly text: string;
 }
@@ -24,7 +24,7 @@
    * Passes tokens on. Gives undefined when the caller can take more at once,
    * else what resolves when it can.
    */
-  write(tokens: readonly PassedToken[]): Promise<void> | undefined;
+  write(tokens: readonly AnswerToken[]): Promise<void> | undefined;
   /** Ends a whole answer. */
   end(end: AnswerEnd): void;
   /** Ends an answer that cannot be made whole here. */
--- a/packages/daemon/src/answer/leg_verdict.ts
+++ b/packages/daemon/src/answer/attempt_outcome.ts
@@ -1,16 +1,16 @@
 /** What the end of a leg says of its request and of its endpoint. */
 import type {EndpointOutcome} from '../endpoint/endpoint_record.js';
-import type {LegResult} from './answer_leg.js';
+import type {AttemptResult} from './answer_attempt.js';
 
 /** Anything but a refusal or a connection never made may have reached it. */
-export function hasPerhapsRun(result: LegResult): boolean {
+export function hasPossiblyRun(result: AttemptResult): boolean {
   if (result.kind === 'stopped') return result.sent;
   if (result.kind === 'ended') return true;
   return result.loss !== 'refused' && result.loss !== 'unreachable';
 }
 
 /** Gives what a leg says of its endpoint. */
-export function getEndpointOutcome(result: LegResult): EndpointOutcome {
+export function getEndpointOutcome(result: AttemptResult): EndpointOutcome {
   if (result.kind === 'ended') return 'done';
   if (result.kind === 'stopped') return 'neutral';
   const {loss} = result;
--- a/packages/daemon/src/answer/body_sink.ts
+++ b/packages/daemon/src/answer/body_sink.ts
@@ -2,9 +2,9 @@
 import type {ServerResponse} from 'node:http';
 import type {KnownError} from '@irisdock/kernel';
 import {sendError, sendJson} from '@irisdock/web';
-import type {AnswerEnd, AnswerSink, PassedToken} from './answer_sink.js';
+import type {AnswerEnd, AnswerSink, AnswerToken} from './answer_sink.js';
 import {createCallerSignal} from './caller_signal.js';
-import {formatWhole, type CompletionHead} from './completion_format.js';
+import {formatCompletion, type CompletionHead} from './completion_format.js';
 import {REQUEST_ID_HEADER, RESUME_HEADER} from '../caller/headers.js';
 
 /** A caller that waits for the whole answer. */
@@ -24,7 +24,7 @@
     this.resume = resumeData;
   }
 
-  write(tokens: readonly PassedToken[]): undefined {
+  write(tokens: readonly AnswerToken[]): undefined {
     for (const {text} of tokens) this.texts.push(text);
     return undefined;
   }
@@ -32,7 +32,7 @@
   end(end: AnswerEnd): void {
     const {reason, count} = end;
     const text = this.texts.join('');
-    const body = formatWhole(this.head, text, reason, count);
+    const body = formatCompletion(this.head, text, reason, count);
     sendJson(this.response, 200, body, {
       [REQUEST_ID_HEADER]: this.head.id,
       [RESUME_HEADER]: this.resume,
--- a/packages/daemon/src/answer/completion_format.ts
+++ b/packages/daemon/src/answer/completion_format.ts
@@ -51,7 +51,7 @@
 }
 
 /** Formats an answer that is not streamed. */
-export function formatWhole(
+export function formatCompletion(
   head: CompletionHead,
   text: string,
   reason: string,
--- a/packages/daemon/src/answer/driver_lock.ts
+++ b/packages/daemon/src/answer/driver_lock.ts
@@ -22,7 +22,7 @@
   }
 
   /** Whether a newer driver waits for the holder. */
-  get isWanted(): boolean {
+  get hasWaiter(): boolean {
     return this.drivers > 1;
   }
 
@@ -32,7 +32,7 @@
   }
 
   /** Stops the driver before and takes the lock once that has ended. */
-  async take(): Promise<void> {
+  async acquire(): Promise<void> {
     this.drivers++;
     this.newest.abort();
     const controller = new AbortController();
@@ -55,7 +55,7 @@
   }
 
   /** Gives the lock back. */
-  end(): void {
+  release(): void {
     this.drivers--;
     this.resolveEnded();
   }
--- a/packages/daemon/src/answer/event_sink.ts
+++ b/packages/daemon/src/answer/event_sink.ts
@@ -2,7 +2,7 @@
 import type {ServerResponse} from 'node:http';
 import type {KnownError} from '@irisdock/kernel';
 import {formatError, formatEvent, sendError, startEvents} from '@irisdock/web';
-import type {AnswerEnd, AnswerSink, PassedToken} from './answer_sink.js';
+import type {AnswerEnd, AnswerSink, AnswerToken} from './answer_sink.js';
 import {createCallerSignal} from './caller_signal.js';
 import {
   ChunkFormat,
@@ -34,7 +34,7 @@
     });
   }
 
-  write(tokens: readonly PassedToken[]): Promise<void> | undefined {
+  write(tokens: readonly AnswerToken[]): Promise<void> | undefined {
     let wire = '';
     for (const {offset, text} of tokens) {
       const data = this.formatToken(text);
--- a/packages/daemon/src/answer/record_finder.ts
+++ b/packages/daemon/src/answer/record_finder.ts
@@ -16,7 +16,7 @@
 import {RequestRecord, type GenerationRequest} from './request_record.js';
 
 /** A request as it comes from a caller. */
-export interface StreamAsk {
+export interface StreamRequest {
   readonly id: ParsedRequestId;
   readonly request: GenerationRequest;
   /** The offset of the first token that the caller still wants. */
@@ -44,7 +44,7 @@
   constructor(private readonly parts: RecordFinderParts) {}
 
   /** Finds or creates the record of a request, or gives the reason why not. */
-  find(ask: StreamAsk): Result<RequestRecord, OwnerRefusal> {
+  find(ask: StreamRequest): Result<RequestRecord, OwnerRefusal> {
     const {request, resumeData} = ask;
     const kept = this.parts.ledger.find(request.id);
     // What went on elsewhere is taken over anew, as if nothing were kept.
@@ -71,7 +71,7 @@
    * @param record The same, when the caller may go on with it.
    */
   private findMismatch(
-    ask: StreamAsk,
+    ask: StreamRequest,
     kept: RequestRecord | undefined,
     record: RequestRecord | undefined,
   ): KnownError | undefined {
@@ -93,7 +93,7 @@
   }
 
   private createStart(
-    ask: StreamAsk,
+    ask: StreamRequest,
     kept: RequestRecord | undefined,
   ): Result<RequestRecord, OwnerRefusal> {
     const {request, fromOffset, receivedText} = ask;
@@ -111,7 +111,7 @@
 
   /** @param kept What is kept of it here, and what the caller left behind. */
   private createTakeOver(
-    ask: StreamAsk,
+    ask: StreamRequest,
     kept: RequestRecord | undefined,
   ): RequestRecord {
     const {request, fromOffset, resumeData} = ask;
@@ -140,7 +140,7 @@
 }
 
 /** Tells whether a caller goes on from what is kept. */
-function isFit(kept: RequestRecord, ask: StreamAsk): boolean {
+function isFit(kept: RequestRecord, ask: StreamRequest): boolean {
   return isRecordFit({
     fromOffset: ask.fromOffset,
     callerRecord: ask.resumeData?.record,
--- a/packages/daemon/src/answer/request_ledger.ts
+++ b/packages/daemon/src/answer/request_ledger.ts
@@ -6,7 +6,7 @@
 /** What is kept of any request. */
 export interface LedgerEntry<T> {
   readonly value: T;
-  readonly addedAt: number;
+  readonly addedAtMs: number;
 }
 
 /** Requests by id, forgotten by age. */
@@ -32,7 +32,7 @@
   add(id: string, value: T, now: number): void {
     // Taken out first, so that entries stay in the order of their age.
     this.entries.delete(id);
-    this.entries.set(id, {value, addedAt: now});
+    this.entries.set(id, {value, addedAtMs: now});
   }
 
   /** Takes out a request of which nothing ran, unless it is another now. */
@@ -41,8 +41,8 @@
   }
 
   /** Forgets what is old, unless `onForget` says that it still runs. */
-  dropOld(now: number): void {
-    for (const [id, {value, addedAt}] of this.entries) {
+  dropExpired(now: number): void {
+    for (const [id, {value, addedAtMs: addedAt}] of this.entries) {
       // Entries are in the order of their age.
       if (now - addedAt < this.keepMs) return;
       if (this.onForget(value)) this.entries.delete(id);
--- a/packages/daemon/src/answer/stall_watch.ts
+++ b/packages/daemon/src/answer/stall_detector.ts
@@ -9,7 +9,7 @@
 export type StallKind = 'silent' | 'stalled';
 
 /** What a watch asks and tells. */
-export interface StallWatchParts {
+export interface StallDetectorParts {
   readonly clock: Clock;
   /** The limits as they are now. */
   getLimits(): StallLimits;
@@ -24,7 +24,7 @@
 const LATE_MS = 100;
 
 /** Watches one stream. */
-export class StallWatch {
+export class StallDetector {
   private lastAt: number;
   private timer: NodeJS.Timeout | undefined;
   private paused = false;
@@ -32,7 +32,7 @@
   /** The silence that was told of, by its beginning. */
   private quietSince: number | undefined;
 
-  constructor(private readonly parts: StallWatchParts) {
+  constructor(private readonly parts: StallDetectorParts) {
     this.lastAt = parts.clock.getNow();
   }
 
--- a/packages/daemon/src/caller/completion_route.ts
+++ b/packages/daemon/src/caller/completion_route.ts
@@ -13,13 +13,13 @@
 import {DAEMON_ERRORS} from '../errors.js';
 import type {Configuration} from '../services/configuration.js';
 import type {Ownership} from '../services/ownership.js';
-import type {StreamAsk} from '../answer/record_finder.js';
+import type {StreamRequest} from '../answer/record_finder.js';
 import type {Streams} from '../services/streams.js';
 import {REQUEST_ID_HEADER} from './headers.js';
-import {readAskParts} from './ask_reader.js';
+import {readRequestParts} from './request_reader.js';
 import type {RequestHeaders} from './request_headers.js';
-import {sendOwnerRefusal} from './owner_answer.js';
-import {findTeamTerms, type TeamTerms} from './team_terms.js';
+import {sendOwnerRefusal} from './owner_refusal.js';
+import {findTeamPolicy, type TeamPolicy} from './team_policy.js';
 
 const DEFAULT_MAX_TOKENS = 16;
 
@@ -45,7 +45,7 @@
   readonly ownership: Ownership;
   readonly streams: Streams;
   /** Gives the reason why no new work is taken, if there is one. */
-  findBar(): KnownError | undefined;
+  findRefusal(): KnownError | undefined;
   createOwnId(): string;
 }
 
@@ -56,7 +56,7 @@
   /** Answers one request. */
   async handle(request: WebRequest): Promise<void> {
     const {response} = request;
-    const parts = await readAskParts(request, () =>
+    const parts = await readRequestParts(request, () =>
       request.readJson(COMPLETION_SCHEMA),
     );
     if (parts.isErr()) {
@@ -79,7 +79,7 @@
   private createSink(
     request: WebRequest,
     body: CompletionBody,
-    ask: StreamAsk,
+    ask: StreamRequest,
   ): AnswerSink {
     const created = Math.floor(this.parts.clock.getWallNow() / 1000);
     const {id} = ask.request;
@@ -92,13 +92,13 @@
   private createAsk(
     headers: RequestHeaders,
     body: CompletionBody,
-  ): Result<StreamAsk, KnownError> {
-    const bar = this.parts.findBar();
+  ): Result<StreamRequest, KnownError> {
+    const bar = this.parts.findRefusal();
     if (bar !== undefined) return err(bar);
     const spec = this.checkModel(body);
     if (spec.isErr()) return err(spec.error);
     const {configuration, ownership, signer} = this.parts;
-    const terms = findTeamTerms(configuration, headers.team, body.model);
+    const terms = findTeamPolicy(configuration, headers.team, body.model);
     if (terms.isErr()) return err(terms.error);
     const {resumeText, fromOffset} = headers;
     const resume =
@@ -139,7 +139,7 @@
   headers: RequestHeaders,
   body: CompletionBody,
   spec: GenerationSpec,
-  terms: TeamTerms,
+  terms: TeamPolicy,
 ): GenerationRequest {
   const {model, prompt, max_tokens: maxTokens} = body;
   const adapter = body.irisdock_adapter;
--- a/packages/daemon/src/caller/plain_route.ts
+++ b/packages/daemon/src/caller/plain_route.ts
@@ -10,10 +10,10 @@
 import type {Ownership} from '../services/ownership.js';
 import type {PlainAsk, PlainCalls} from '../services/plain_calls.js';
 import {REQUEST_ID_HEADER, TEAM_HEADER} from './headers.js';
-import {sendOwnerRefusal} from './owner_answer.js';
-import {readAskParts} from './ask_reader.js';
+import {sendOwnerRefusal} from './owner_refusal.js';
+import {readRequestParts} from './request_reader.js';
 import type {RequestHeaders} from './request_headers.js';
-import {findTeamTerms} from './team_terms.js';
+import {findTeamPolicy} from './team_policy.js';
 
 // Headers that concern one connection only, and those set anew.
 const NOT_PASSED = new Set([
@@ -36,7 +36,7 @@
   readonly ownership: Ownership;
   readonly calls: PlainCalls;
   /** Gives the reason why no new work is taken, if there is one. */
-  findBar(): KnownError | undefined;
+  findRefusal(): KnownError | undefined;
   createOwnId(): string;
 }
 
@@ -47,7 +47,7 @@
   /** Answers one call. */
   async handle(request: WebRequest): Promise<void> {
     const {response} = request;
-    const parts = await readAskParts(request, () => request.readBody());
+    const parts = await readRequestParts(request, () => request.readBody());
     const ask = parts.andThen(({headers, body}) =>
       this.createAsk(request, headers, body),
     );
@@ -69,7 +69,7 @@
     headers: RequestHeaders,
     body: Buffer,
   ): Result<PlainAsk, KnownError> {
-    const bar = this.parts.findBar();
+    const bar = this.parts.findRefusal();
     if (bar !== undefined) return err(bar);
     const {configuration, ownership} = this.parts;
     const service = request.getParameter('service');
@@ -77,7 +77,7 @@
     if (spec?.type !== 'plain') {
       return err(DAEMON_ERRORS.create('unknown_service', {service}));
     }
-    const terms = findTeamTerms(configuration, headers.team, service);
+    const terms = findTeamPolicy(configuration, headers.team, service);
     if (terms.isErr()) return err(terms.error);
     const {team, weight, maxInFlight} = terms.value;
     const id = headers.requestId ?? this.parts.createOwnId();
--- a/packages/daemon/src/caller/ask_reader.ts
+++ b/packages/daemon/src/caller/request_reader.ts
@@ -5,7 +5,7 @@
 import {readRequestHeaders, type RequestHeaders} from './request_headers.js';
 
 /** A request's parts, read and checked. */
-export interface AskParts<B> {
+export interface RequestParts<B> {
   readonly headers: RequestHeaders;
   readonly body: B;
 }
@@ -14,10 +14,10 @@
  * Reads headers and body. The body is read whatever the headers are, so that
  * its bytes are not taken for the next request.
  */
-export async function readAskParts<B>(
+export async function readRequestParts<B>(
   request: WebRequest,
   readBody: () => Promise<Result<B, KnownError>>,
-): Promise<Result<AskParts<B>, KnownError>> {
+): Promise<Result<RequestParts<B>, KnownError>> {
   const headers = readRequestHeaders(request);
   const body = await readBody();
   if (headers.isErr()) return err(headers.error);
--- a/packages/daemon/src/caller/team_terms.ts
+++ b/packages/daemon/src/caller/team_policy.ts
@@ -5,7 +5,7 @@
 import type {Configuration} from '../services/configuration.js';
 
 /** A team's terms on a service. */
-export interface TeamTerms {
+export interface TeamPolicy {
   readonly team: string;
   /** The weight with the team's priority on the service in it. */
   readonly weight: number;
@@ -14,11 +14,11 @@
 }
 
 /** Finds a team's terms on a service, or says why it has none. */
-export function findTeamTerms(
+export function findTeamPolicy(
   configuration: Configuration,
   team: string | undefined,
   service: string,
-): Result<TeamTerms, KnownError> {
+): Result<TeamPolicy, KnownError> {
   if (team === undefined) return err(DAEMON_ERRORS.create('missing_team'));
   const spec = configuration.findSpec('team', team);
   if (spec === undefined) {
--- a/packages/daemon/src/endpoint/endpoint_record.ts
+++ b/packages/daemon/src/endpoint/endpoint_record.ts
@@ -132,7 +132,7 @@
   }
 
   /** Notes that a stream there got a token. */
-  markLively(): void {
+  markProgress(): void {
     this.quietUntil = -Infinity;
   }
 
--- a/packages/daemon/src/endpoint/service_gaps.ts
+++ b/packages/daemon/src/endpoint/service_gaps.ts
@@ -25,8 +25,8 @@
   /** Whether the answer began before. */
   readonly isResuming: boolean;
   /** Bounds on the limit, in milliseconds. */
-  readonly leastMs: number;
-  readonly mostMs: number;
+  readonly minMs: number;
+  readonly maxMs: number;
 }
 
 /** The pace of one service's engines. */
@@ -56,7 +56,7 @@
    * stands still, and what it had is not lost by going on elsewhere.
    */
   getFirstTokenLimit(wait: FirstTokenWait): number {
-    const {promptChars, isResuming, leastMs, mostMs} = wait;
+    const {promptChars, isResuming, minMs: leastMs, maxMs: mostMs} = wait;
     const least = isResuming ? MIN_FIRST_TOKENS_RESUMING : MIN_FIRST_TOKENS;
     const isKnown = this.firstTokens.count >= least;
     const usual = isKnown ? this.firstTokens.getUpperBoundMs() : undefined;
--- a/packages/daemon/src/services/callers.ts
+++ b/packages/daemon/src/services/callers.ts
@@ -73,7 +73,7 @@
     const parts = {
       ...this.parts,
       signer: host.signer,
-      findBar: () => this.findBar(),
+      findRefusal: () => this.findBar(),
       createOwnId: () => ownership.createId(host),
     };
     const completions = new CompletionRoute(parts);
--- a/packages/daemon/src/services/plain_calls.ts
+++ b/packages/daemon/src/services/plain_calls.ts
@@ -77,7 +77,7 @@
   /** Passes a call on and gives its answer, or the reason why not. */
   async serve(ask: PlainAsk): Promise<Result<PlainAnswer, OwnerRefusal>> {
     const now = this.parts.clock.getNow();
-    this.ledger.dropOld(now);
+    this.ledger.dropExpired(now);
     const refusal = this.findRefusal(ask);
     if (refusal !== undefined) return err(refusal);
     if (!ask.repeatable) this.ledger.add(ask.id.id, 'sent', now);
--- a/packages/daemon/src/services/streams.ts
+++ b/packages/daemon/src/services/streams.ts
@@ -21,10 +21,10 @@
   createTakenUp,
   type DriveOutcome,
 } from '../answer/answer_driver.js';
-import type {LegOptions} from '../answer/answer_leg.js';
+import type {AttemptOptions} from '../answer/answer_attempt.js';
 import type {AnswerSink} from '../answer/answer_sink.js';
 import {EngineChooser} from '../answer/engine_chooser.js';
-import {RecordFinder, type StreamAsk} from '../answer/record_finder.js';
+import {RecordFinder, type StreamRequest} from '../answer/record_finder.js';
 import {RequestLedger} from '../answer/request_ledger.js';
 import type {RequestRecord} from '../answer/request_record.js';
 import {StreamMetrics} from '../answer/stream_metrics.js';
@@ -47,7 +47,7 @@
   readonly configuration: Configuration;
   readonly ownership: Ownership;
   readonly metrics: StreamMetrics;
-  readonly legOptions: LegOptions;
+  readonly attemptOptions: AttemptOptions;
   readonly resumeWaitMs: number;
   readonly graceMs: number;
   readonly keepEndedMs: number;
@@ -81,10 +81,10 @@
 
   /** Answers a request into a sink, or gives the reason why not. */
   async serve(
-    ask: StreamAsk,
+    ask: StreamRequest,
     sink: AnswerSink,
   ): Promise<Result<void, OwnerRefusal>> {
-    this.ledger.dropOld(this.parts.clock.getNow());
+    this.ledger.dropExpired(this.parts.clock.getNow());
     const record = this.finder.find(ask);
     if (record.isErr()) return err(record.error);
     await this.runDriver(ask, sink, record.value);
@@ -92,15 +92,15 @@
   }
 
   private async runDriver(
-    ask: StreamAsk,
+    ask: StreamRequest,
     sink: AnswerSink,
     record: RequestRecord,
   ): Promise<void> {
-    await record.lock.take();
+    await record.lock.acquire();
     this.running++;
     try {
       const outcome = await this.drive(ask, sink, record).finally(() => {
-        record.lock.end();
+        record.lock.release();
       });
       this.finish(record, sink, outcome);
     } finally {
@@ -109,7 +109,7 @@
   }
 
   private async drive(
-    ask: StreamAsk,
+    ask: StreamRequest,
     sink: AnswerSink,
     record: RequestRecord,
   ): Promise<DriveOutcome> {
@@ -217,7 +217,7 @@
       configuration: context.find(CONFIGURATION),
       ownership: context.find(OWNERSHIP),
       metrics: new StreamMetrics(context.metrics),
-      legOptions: {bounds, minFirstTokenMs, firstTokenMs, probeTimeoutMs},
+      attemptOptions: {bounds, minFirstTokenMs, firstTokenMs, probeTimeoutMs},
       resumeWaitMs,
       graceMs,
       keepEndedMs,
--- a/packages/daemon/tests/driver_lock.test.ts
+++ b/packages/daemon/tests/driver_lock.test.ts
@@ -33,7 +33,7 @@
   let mostAtOnce = 0;
   const runOne = async (play: Play, at: number): Promise<void> => {
     await runTurns(play.comesAfter);
-    await lock.take();
+    await lock.acquire();
     const {signal} = lock;
     holders++;
     mostAtOnce = Math.max(mostAtOnce, holders);
@@ -42,7 +42,7 @@
     if (!signal.aborted) unstopped.push(at);
     await runTurns(play.endsIn);
     holders--;
-    lock.end();
+    lock.release();
   };
   await Promise.all(plays.map(runOne));
   assert.ok(lock.isFree);
@@ -73,18 +73,18 @@
     const states: string[] = [];
     const addState = (): void => {
       const stopped = lock.signal.aborted ? 'stopped' : 'not stopped';
-      const wanted = lock.isWanted ? 'wanted' : 'not wanted';
+      const wanted = lock.hasWaiter ? 'wanted' : 'not wanted';
       states.push(lock.isFree ? 'free' : `${wanted}, ${stopped}`);
     };
     addState();
-    await lock.take();
+    await lock.acquire();
     addState();
-    const second = lock.take();
+    const second = lock.acquire();
     addState();
-    lock.end();
+    lock.release();
     await second;
     addState();
-    lock.end();
+    lock.release();
     addState();
     assert.deepEqual(states, [
       'free',
--- a/packages/daemon/tests/service_gaps.test.ts
+++ b/packages/daemon/tests/service_gaps.test.ts
@@ -15,7 +15,7 @@
 ): number {
   const gaps = new ServiceGaps();
   for (let at = 0; at < known; at++) gaps.recordFirstToken(waitMs, 0);
-  const bounds = {leastMs: LEAST_MS, mostMs: MOST_MS};
+  const bounds = {minMs: LEAST_MS, maxMs: MOST_MS};
   return gaps.getFirstTokenLimit({promptChars, isResuming, ...bounds});
 }
 
--- a/packages/daemon/tests/streams.test.ts
+++ b/packages/daemon/tests/streams.test.ts
@@ -7,7 +7,7 @@
 import {Registry} from 'prom-client';
 import type {AnswerSink} from '../src/answer/answer_sink.js';
 import {AnswerDriver, type DriverParts} from '../src/answer/answer_driver.js';
-import type {StreamAsk} from '../src/answer/record_finder.js';
+import type {StreamRequest} from '../src/answer/record_finder.js';
 import {
   RequestRecord,
   type GenerationRequest,
@@ -64,7 +64,7 @@
   return new Streams(parts as unknown as StreamsParts);
 }
 
-function createAsk(): StreamAsk {
+function createAsk(): StreamRequest {
   const request = {
     id: 'r',
     service: 's',
@@ -78,7 +78,7 @@
     repeatable: false,
   };
   return {
-    id: {origin: 'caller'} as StreamAsk['id'],
+    id: {origin: 'caller'} as StreamRequest['id'],
     request: request as unknown as GenerationRequest,
     fromOffset: 0,
     resuming: false,
@@ -146,17 +146,17 @@
       signer: new Signer('a key of sixteen or more characters'),
       admission: createAdmission(),
     };
-    await record.lock.take();
+    await record.lock.acquire();
     const driver = new AnswerDriver(
       parts as unknown as DriverParts,
       record,
       sink,
     );
     const outcome = driver.run(0, undefined).finally(() => {
-      record.lock.end();
+      record.lock.release();
     });
     await runDue();
-    await record.lock.take();
+    await record.lock.acquire();
     assert.equal(await outcome, 'stopped');
   });
 
--- a/scripts/check_proofs.mjs
+++ b/scripts/check_proofs.mjs
@@ -54,7 +54,7 @@
   ],
   [
     'an answer without its end is a loss',
-    `${DAEMON}/answer/answer_leg.js`,
+    `${DAEMON}/answer/answer_attempt.js`,
     "return { kind: 'lost', loss: loss ?? 'reset' }",
     "return { kind: 'ended', reason: 'length' }",
     'testkit/streams',
@@ -62,7 +62,7 @@
   ],
   [
     'silence is noticed',
-    `${DAEMON}/answer/stall_watch.js`,
+    `${DAEMON}/answer/stall_detector.js`,
     'this.plan(this.parts.getLimits().probeMs)',
     'void 0',
     'testkit/streams',
