--- a/packages/daemon/src/answer/abortable_wait.ts
+++ b/packages/daemon/src/answer/abortable_wait.ts
@@ -1,19 +1,19 @@
-/** Waiting that ends early when it is no longer wanted. */
+/** Waiting for a promise that an abort signal can cut short. */
 
-/** Waits for a promise, or until the signal is aborted. */
+/** Resolves when the promise does or when the signal is aborted. */
 export async function waitUnlessAborted(
   promise: Promise<void>,
   signal: AbortSignal,
 ): Promise<void> {
   if (signal.aborted) return;
-  let end: () => void = () => undefined;
+  let resolveAborted: () => void = () => undefined;
   const aborted = new Promise<void>((resolve) => {
-    end = resolve;
+    resolveAborted = resolve;
   });
-  signal.addEventListener('abort', end);
+  signal.addEventListener('abort', resolveAborted);
   try {
     await Promise.race([promise, aborted]);
   } finally {
-    signal.removeEventListener('abort', end);
+    signal.removeEventListener('abort', resolveAborted);
   }
 }
--- a/packages/daemon/src/answer/answer_attempt.ts
+++ b/packages/daemon/src/answer/answer_attempt.ts
@@ -1,6 +1,7 @@
 /**
- * One leg of an answer: one stream on one engine, from its order to its end
- * or loss. What it passes on goes through the assembler.
+ * One attempt of an answer: one stream on one engine, from its order to its
+ * end or loss. Its tokens pass through the assembler, which drops duplicates
+ * and detects gaps.
  */
 import type {Clock} from '@irisdock/kernel';
 import type {
@@ -21,24 +22,24 @@
 import {StallDetector, type StallKind} from './stall_detector.js';
 import type {StreamMetrics} from './stream_metrics.js';
 
-/** How a leg ended. */
+/** How an attempt ended. */
 export type AttemptResult =
   | {readonly kind: 'ended'; readonly reason: string}
   | {readonly kind: 'lost'; readonly loss: LossKind}
-  /** `sent` tells whether the order may have reached the engine. */
+  /** `sent`: whether the order may have reached the engine. */
   | {readonly kind: 'stopped'; readonly sent: boolean};
 
-/** How patient a leg is. */
+/** Time limits of an attempt. */
 export interface AttemptOptions {
   readonly bounds: StallBounds;
-  /** Bounds on the wait for a first token while the engine answers, in ms. */
+  /** Bounds on the wait for a first token while probes are answered, in ms. */
   readonly minFirstTokenMs: number;
   readonly firstTokenMs: number;
-  /** The longest that an engine may take to answer a probe, in ms. */
+  /** The time limit of a probe, in ms. */
   readonly probeTimeoutMs: number;
 }
 
-/** What a leg works with. */
+/** The dependencies and callbacks of an attempt. */
 export interface AttemptParts {
   readonly clock: Clock;
   readonly options: AttemptOptions;
@@ -46,17 +47,17 @@
   readonly assembler: AnswerAssembler;
   readonly endpoint: EndpointRecord;
   readonly engine: Engine;
-  /** Aborted when the caller is gone or another driver takes over. */
+  /** Aborted when the caller disconnects or another driver takes over. */
   readonly stop: AbortSignal;
-  /** Called when the engine is silent for long, though it answers. */
+  /** Called when the stream makes no progress though probes are answered. */
   handleQuiet(): void;
   /** Called once the engine has accepted the order. */
   handleAccepted(): void;
-  /** Passes tokens on; resolves when more can be taken. */
+  /** Passes tokens to the caller; resolves when it can take more. */
   handleTokens(tokens: readonly AnswerToken[]): Promise<void>;
 }
 
-/** Error kinds that say how an order was lost; the rest is a reset. */
+/** The kind of loss for each error kind; all others count as a reset. */
 const LOSSES: Partial<Record<EndpointErrorKind, LossKind>> = {
   endpoint_unreachable: 'unreachable',
   endpoint_full: 'refused',
@@ -64,13 +65,13 @@
   endpoint_unknown_stream: 'gone',
 };
 
-/** Runs one leg. */
+/** Runs one attempt. */
 export class AnswerAttempt {
-  private readonly abort = new AbortController();
-  private readonly watch: StallDetector;
+  private readonly abortController = new AbortController();
+  private readonly stallDetector: StallDetector;
   private stall: StallKind | undefined;
   private hasToken = false;
-  /** Whether the engine's last load says that this order may wait there. */
+  /** Whether the order may be queued there, by the engine's last load. */
   private isQueued = false;
   private firstTokenMs: number;
   private promptChars = 0;
@@ -78,7 +79,7 @@
   constructor(private readonly parts: AttemptParts) {
     const {clock, engine, options} = parts;
     this.firstTokenMs = options.firstTokenMs;
-    this.watch = new StallDetector({
+    this.stallDetector = new StallDetector({
       clock,
       getLimits: () => {
         const {gaps, serviceGaps} = parts.endpoint;
@@ -90,8 +91,8 @@
       probe: async () => {
         const load = await engine.getLoad(options.probeTimeoutMs);
         if (load.isErr()) return false;
-        // A full engine that makes tokens has not come to this order yet; one
-        // whose streams stand still makes none for those that wait either.
+        // On a full engine that generates tokens the order is still queued. If
+        // the engine's streams have stalled, queued orders stall as well.
         const {running, slots, queued} = load.value;
         const isFull = running >= slots && queued > 0;
         this.isQueued = isFull && !parts.endpoint.isQuiet;
@@ -99,7 +100,7 @@
       },
       handleLoss: (kind) => {
         this.stall = kind;
-        this.abort.abort();
+        this.abortController.abort();
       },
       handleQuiet: () => {
         if (!this.isQueued) parts.handleQuiet();
@@ -107,28 +108,31 @@
     });
   }
 
-  /** Runs the order to its end. */
+  /** Sends the order and reads its stream to the end or to its loss. */
   async run(order: StreamOrder): Promise<AttemptResult> {
     const {engine, stop, metrics} = this.parts;
     if (stop.aborted) return {kind: 'stopped', sent: false};
     metrics.orders.inc({mode: order.mode});
-    this.startWatch(order);
+    this.startStallDetector(order);
     const cancel = (): void => {
-      this.abort.abort();
+      this.abortController.abort();
     };
     stop.addEventListener('abort', cancel);
     try {
-      const opened = await engine.openStream(order, this.abort.signal);
+      const opened = await engine.openStream(
+        order,
+        this.abortController.signal,
+      );
       if (opened.isErr()) return this.createOpenLoss(opened.error.kind);
       this.parts.handleAccepted();
       return await this.read(opened.value);
     } finally {
-      this.watch.stop();
+      this.stallDetector.stop();
       stop.removeEventListener('abort', cancel);
     }
   }
 
-  private startWatch(order: StreamOrder): void {
+  private startStallDetector(order: StreamOrder): void {
     const {minFirstTokenMs, firstTokenMs} = this.parts.options;
     const {serviceGaps} = this.parts.endpoint;
     this.promptChars = order.prompt.length + order.received.length;
@@ -138,7 +142,7 @@
       minMs: minFirstTokenMs,
       maxMs: firstTokenMs,
     });
-    this.watch.start();
+    this.stallDetector.start();
   }
 
   private recordGap(gapMs: number): void {
@@ -158,7 +162,7 @@
         if (result !== undefined) return result;
       }
     } catch {
-      // The connection broke; what that means is told below.
+      // The connection broke; createLoss() below determines the loss.
     } finally {
       stream.close();
     }
@@ -168,7 +172,7 @@
   private async handleBatch(
     batch: readonly StreamEvent[],
   ): Promise<AttemptResult | undefined> {
-    const gapMs = this.watch.markActive();
+    const gapMs = this.stallDetector.markActive();
     this.parts.endpoint.markProgress();
     this.recordGap(gapMs);
     const passed: AnswerToken[] = [];
@@ -179,9 +183,9 @@
     }
     if (passed.length === 0) return result;
     this.hasToken = true;
-    this.watch.pause();
+    this.stallDetector.pause();
     await this.parts.handleTokens(passed);
-    this.watch.resume();
+    this.stallDetector.resume();
     return result;
   }
 
@@ -193,25 +197,25 @@
     if (event.type === 'superseded') {
       return {kind: 'lost', loss: 'superseded'};
     }
-    const verdict: AssemblyDecision =
+    const decision: AssemblyDecision =
       event.type === 'token'
         ? assembler.acceptToken(event)
         : assembler.acceptEnd(event);
-    if (verdict.action === 'pass') {
-      passed.push({offset: verdict.offset, text: verdict.text});
+    if (decision.action === 'pass') {
+      passed.push({offset: decision.offset, text: decision.text});
     }
-    if (verdict.action === 'drop') {
-      metrics.dropped.inc({reason: verdict.reason});
+    if (decision.action === 'drop') {
+      metrics.dropped.inc({reason: decision.reason});
     }
-    if (verdict.action === 'lost') return {kind: 'lost', loss: 'gap'};
-    if (verdict.action !== 'end') return undefined;
-    return {kind: 'ended', reason: verdict.reason};
+    if (decision.action === 'lost') return {kind: 'lost', loss: 'gap'};
+    if (decision.action !== 'end') return undefined;
+    return {kind: 'ended', reason: decision.reason};
   }
 
-  /** Creates the result of an order that got no stream. */
+  /** Creates the result of an order whose stream could not be opened. */
   private createOpenLoss(error: EndpointErrorKind): AttemptResult {
     if (error !== 'endpoint_unreachable') return this.createLoss(LOSSES[error]);
-    // Nothing was sent, whoever ended the try.
+    // Nothing was sent, no matter which side ended the attempt.
     if (this.parts.stop.aborted) return {kind: 'stopped', sent: false};
     return {kind: 'lost', loss: 'unreachable'};
   }
--- a/packages/daemon/src/answer/answer_driver.ts
+++ b/packages/daemon/src/answer/answer_driver.ts
@@ -1,6 +1,7 @@
 /**
- * Drives one answer to its end: runs legs on engines, and after each loss
- * attaches again, goes on elsewhere, or gives up at once.
+ * Drives one answer to its end through successive attempts on engines. After
+ * a lost attempt it attaches to the generation again, continues on another
+ * engine, or fails the answer.
  */
 import type {Clock, KnownError, Random} from '@irisdock/kernel';
 import {
@@ -31,7 +32,7 @@
 import type {StreamMetrics} from './stream_metrics.js';
 import {waitUnlessAborted} from './abortable_wait.js';
 
-/** What a driver works with. */
+/** The dependencies and options of a driver. */
 export interface DriverParts {
   readonly clock: Clock;
   readonly random: Random;
@@ -42,27 +43,27 @@
   readonly budget: RetryBudget;
   readonly metrics: StreamMetrics;
   readonly attemptOptions: AttemptOptions;
-  /** How long an endpoint is looked for after a loss, in ms. */
+  /** How long to search for an endpoint after a loss, in ms. */
   readonly resumeWaitMs: number;
 }
 
-/** How a driver left its answer. */
+/** The state in which a driver left its answer. */
 export type DriveOutcome = 'ended' | 'failed' | 'stopped' | 'superseded';
 
-const CHOOSE_AGAIN_MS = 20;
-// Above every priority that can be declared.
+const CHOOSE_RETRY_MS = 20;
+/** Added to a continued request's priority; above any declared priority. */
 const RESUMING_PRIORITY = 100;
 /** Losses after which the engine may still be running the generation. */
-const TO_CANCEL: ReadonlySet<LossKind> = new Set<LossKind>([
+const LOSSES_TO_CANCEL: ReadonlySet<LossKind> = new Set<LossKind>([
   'gap',
-  // The order before may still be on its way to it.
+  // An earlier order may still be in transit to the engine.
   'gone',
   'reset',
   'silent',
   'stalled',
 ]);
-/** Losses that say that the endpoint itself is lost. */
-const ENDPOINT_LOST: ReadonlySet<LossKind> = new Set<LossKind>([
+/** Losses that mean that the endpoint itself is unavailable. */
+const ENDPOINT_LOSSES: ReadonlySet<LossKind> = new Set<LossKind>([
   'silent',
   'unreachable',
 ]);
@@ -71,14 +72,14 @@
 export class AnswerDriver {
   private readonly stop: AbortSignal;
   private readonly assembler: AnswerAssembler;
-  private readonly avoid = new Set<string>();
+  private readonly avoided = new Set<string>();
   private readonly startedAt: number;
   private admitted: Admitted | undefined;
-  private losses = 0;
-  private attaches = 0;
+  private countedLosses = 0;
+  private attachAttempts = 0;
   private lastTokenAt: number | undefined;
   private lostSince: number | undefined;
-  /** Until when an endpoint is looked for, unless one takes the order. */
+  /** End of the search for an endpoint; unset when an order is accepted. */
   private searchUntil: number | undefined;
 
   constructor(
@@ -93,24 +94,24 @@
   }
 
   /**
-   * Sends what is kept from an offset on, then drives to the end.
+   * Sends the recorded tokens from an offset on, then runs attempts.
    *
-   * @param attachTo The endpoint that may still run the generation.
+   * @param attachTo The endpoint that may still be running the generation.
    */
   async run(
     fromOffset: number,
     attachTo: EndpointRecord | undefined,
   ): Promise<DriveOutcome> {
-    await this.sendKept(fromOffset);
+    await this.sendRecorded(fromOffset);
     if (this.record.state === 'ended') return this.end(this.record.endReason);
     try {
-      return await this.runLegs(attachTo);
+      return await this.runAttempts(attachTo);
     } finally {
       this.admitted?.end();
     }
   }
 
-  private async sendKept(fromOffset: number): Promise<void> {
+  private async sendRecorded(fromOffset: number): Promise<void> {
     const texts = this.record.getTokensFrom(fromOffset);
     if (texts.length === 0 && this.record.state !== 'ended') return;
     const first = Math.max(fromOffset, this.record.firstOffset);
@@ -120,7 +121,7 @@
     await this.write(tokens);
   }
 
-  private async runLegs(
+  private async runAttempts(
     attachTo: EndpointRecord | undefined,
   ): Promise<DriveOutcome> {
     let attach = attachTo;
@@ -136,7 +137,7 @@
       if (found.isErr()) return this.fail(found.error);
       const endpoint = found.value;
       if (attach !== undefined) endpoint.startRequest();
-      const result = await this.runLeg(endpoint, attach !== undefined);
+      const result = await this.runAttempt(endpoint, attach !== undefined);
       if (result.kind === 'ended') return this.end(result.reason);
       if (result.kind === 'stopped') return 'stopped';
       const next = this.decideNext(endpoint, result.loss);
@@ -146,7 +147,7 @@
     }
   }
 
-  /** Finds an engine: in the queue's order at first, before it after a loss. */
+  /** Finds an engine: by the queue at first, ahead of it after a loss. */
   private async findEndpoint(): Promise<Result<EndpointRecord, KnownError>> {
     if (this.admitted === undefined && !this.record.mayHaveRun) {
       const admitted = await this.parts.admission.submit(this.createEntry());
@@ -154,25 +155,25 @@
       this.admitted = admitted.value;
       return ok(admitted.value.endpoint);
     }
-    const bar = this.findBar();
-    if (bar !== undefined) return err(bar);
+    const refusal = this.findContinuationError();
+    if (refusal !== undefined) return err(refusal);
     const {clock, chooser, resumeWaitMs} = this.parts;
     this.searchUntil ??= clock.getNow() + resumeWaitMs;
     while (!this.stop.aborted && clock.getNow() < this.searchUntil) {
       const resuming = this.record.mayHaveRun;
-      const endpoint = chooser.choose({avoid: this.avoid, resuming});
+      const endpoint = chooser.choose({avoid: this.avoided, resuming});
       endpoint?.startRequest();
       if (endpoint !== undefined) return ok(endpoint);
-      await clock.wait(CHOOSE_AGAIN_MS, this.stop);
+      await clock.wait(CHOOSE_RETRY_MS, this.stop);
     }
-    return err(this.createGiveUp('no endpoint'));
+    return err(this.createFinalError('no endpoint'));
   }
 
-  /** Gives the reason why an answer that began may not go on elsewhere. */
-  private findBar(): KnownError | undefined {
+  /** Returns why a started answer must not be continued elsewhere, if so. */
+  private findContinuationError(): KnownError | undefined {
     const {record} = this;
     if (!record.mayHaveRun) return undefined;
-    if (!this.mayContinue) return this.createGiveUp('not repeatable');
+    if (!this.mayContinue) return this.createFinalError('not repeatable');
     if (record.text !== undefined) return undefined;
     return DAEMON_ERRORS.create('resume_text_needed', {}, 1);
   }
@@ -196,11 +197,14 @@
       maxInFlight,
       signal: this.stop,
       choose: () =>
-        this.parts.chooser.choose({avoid: this.avoid, resuming: false}),
+        this.parts.chooser.choose({
+          avoid: this.avoided,
+          resuming: false,
+        }),
     };
   }
 
-  private async runLeg(
+  private async runAttempt(
     endpoint: EndpointRecord,
     attaching: boolean,
   ): Promise<AttemptResult> {
@@ -210,7 +214,7 @@
     const order = this.createOrder(attaching);
     record.endpoint = endpoint.address;
     this.assembler.setGeneration(order.generation);
-    const leg = new AnswerAttempt({
+    const attempt = new AnswerAttempt({
       clock: parts.clock,
       options: parts.attemptOptions,
       metrics: parts.metrics,
@@ -225,9 +229,9 @@
         this.searchUntil = undefined;
         this.sink.setResume(this.createResume());
       },
-      handleTokens: (tokens) => this.passOn(tokens),
+      handleTokens: (tokens) => this.passTokens(tokens),
     });
-    const result = await leg.run(order);
+    const result = await attempt.run(order);
     if (hasPossiblyRun(result)) record.mayHaveRun = true;
     endpoint.endRequest(getEndpointOutcome(result));
     return result;
@@ -241,9 +245,9 @@
       record.takeover,
       record.attempts,
     );
-    const fresh = record.mayHaveRun ? 'continue' : 'start';
+    const modeUnattached = record.mayHaveRun ? 'continue' : 'start';
     return {
-      mode: attaching ? 'attach' : fresh,
+      mode: attaching ? 'attach' : modeUnattached,
       request: request.id,
       generation: record.generation,
       prompt: request.prompt,
@@ -256,7 +260,7 @@
     };
   }
 
-  private async passOn(tokens: readonly AnswerToken[]): Promise<void> {
+  private async passTokens(tokens: readonly AnswerToken[]): Promise<void> {
     const {clock, metrics} = this.parts;
     const now = clock.getNow();
     if (this.record.nextOffset === 0) {
@@ -269,14 +273,14 @@
     for (const {text} of tokens) this.record.addToken(text);
     metrics.tokens.inc(tokens.length);
     this.lastTokenAt = now;
-    this.losses = 0;
-    this.attaches = 0;
+    this.countedLosses = 0;
+    this.attachAttempts = 0;
     await this.write(tokens);
   }
 
   /**
-   * Writes to the caller. A caller that reads no more, its connection half
-   * open, must not hold up the newer connection by which it came back.
+   * Writes to the caller; stops waiting for it when the driver is stopped. A
+   * half-open connection must not block the caller's newer connection.
    */
   private async write(tokens: readonly AnswerToken[]): Promise<void> {
     const written = this.sink.write(tokens);
@@ -284,7 +288,7 @@
     await waitUnlessAborted(written, this.stop);
   }
 
-  /** Decides what follows a loss; an error is the reason to give up. */
+  /** Decides what to do after a loss; an error means to give up with it. */
   private decideNext(
     endpoint: EndpointRecord,
     loss: LossKind,
@@ -293,44 +297,44 @@
     const {record} = this;
     metrics.losses.inc({kind: loss});
     this.lostSince ??= this.lastTokenAt ?? clock.getNow();
-    if (ENDPOINT_LOST.has(loss)) directory.reportLost(endpoint, loss);
-    // The first try after a loss is always made; more come from the budget.
+    if (ENDPOINT_LOSSES.has(loss)) directory.reportLost(endpoint, loss);
+    // The first retry after a loss is free; further ones use the retry budget.
     const isCounted = isLossCounted(loss, record.mayHaveRun);
-    const isFree = !isCounted || this.losses === 0;
+    const isFree = !isCounted || this.countedLosses === 0;
     const budgetLeft = isFree || budget.takeRetry(clock.getNow());
     const response = decideLossResponse({
       loss,
       mayHaveRun: record.mayHaveRun,
       mayContinue: this.mayContinue,
-      attachAttempts: this.attaches,
-      losses: this.losses,
+      attachAttempts: this.attachAttempts,
+      losses: this.countedLosses,
       hasRetryBudget: budgetLeft,
     });
-    if (isCounted) this.losses++;
+    if (isCounted) this.countedLosses++;
     if (response === 'abandon') return 'abandon';
     if (response === 'attach') {
-      this.attaches++;
+      this.attachAttempts++;
       return 'attach';
     }
-    if (response !== 'continue') return this.createGiveUp(loss);
-    this.avoid.add(endpoint.address);
+    if (response !== 'continue') return this.createFinalError(loss);
+    this.avoided.add(endpoint.address);
     this.cancelLost(endpoint, loss);
     return 'continue';
   }
 
-  /** Stops a lost generation, should its engine still run it. */
+  /** Cancels a lost generation that its engine may still be running. */
   private cancelLost(endpoint: EndpointRecord, loss: LossKind): void {
     const {engine} = endpoint.clients;
-    if (engine === undefined || !TO_CANCEL.has(loss)) return;
+    if (engine === undefined || !LOSSES_TO_CANCEL.has(loss)) return;
     const {record, parts} = this;
-    const below = createGenerationNumber(record.takeover, record.attempts + 1);
-    void engine.cancel(record.request.id, below).then((result) => {
-      const stalled = loss === 'silent' || loss === 'stalled';
-      if (stalled && result.isOk()) parts.metrics.falseAlarms.inc();
+    const limit = createGenerationNumber(record.takeover, record.attempts + 1);
+    void engine.cancel(record.request.id, limit).then((result) => {
+      const isStall = loss === 'silent' || loss === 'stalled';
+      if (isStall && result.isOk()) parts.metrics.falseAlarms.inc();
     });
   }
 
-  private createGiveUp(loss: string): KnownError {
+  private createFinalError(loss: string): KnownError {
     const {service} = this.record.request;
     if (!this.record.mayHaveRun) {
       return DAEMON_ERRORS.create('no_endpoint', {service}, 1);
@@ -354,15 +358,15 @@
   }
 
   private fail(error: KnownError): DriveOutcome {
-    // Another of the caller's connections goes on with it: then no word of
-    // this one says that it was not run.
-    const isTaken = this.record.lock.hasWaiter;
-    this.sink.fail(isTaken ? createTakenUp() : error);
+    // A newer connection of the caller is continuing the request, so this one
+    // must not be told that the request was not run.
+    const isTakenOver = this.record.lock.hasWaiter;
+    this.sink.fail(isTakenOver ? createTakenUp() : error);
     return 'failed';
   }
 }
 
-/** Creates the answer to a caller whose newer connection took over. */
+/** Creates the error for a connection that a newer one has replaced. */
 export function createTakenUp(): KnownError {
   return DAEMON_ERRORS.create('answer_taken_up', {}, 1);
 }
--- a/packages/daemon/src/answer/answer_sink.ts
+++ b/packages/daemon/src/answer/answer_sink.ts
@@ -1,7 +1,7 @@
-/** Where an answer's tokens go: to a caller's stream or into one body. */
+/** The output of an answer: an event stream or a single response body. */
 import type {KnownError} from '@irisdock/kernel';
 
-/** A token on its way to the caller. */
+/** A token to be sent to the caller. */
 export interface AnswerToken {
   readonly offset: number;
   readonly text: string;
@@ -10,23 +10,23 @@
 /** How an answer ended. */
 export interface AnswerEnd {
   readonly reason: string;
-  /** Tokens of the whole answer. */
+  /** The number of tokens in the whole answer. */
   readonly count: number;
 }
 
-/** Takes one answer. */
+/** Receives one answer and sends it to the caller. */
 export interface AnswerSink {
-  /** Aborted when the caller's connection is gone. */
+  /** Aborted when the caller's connection closes early. */
   readonly signal: AbortSignal;
-  /** Tells where the answer can be taken up again from now on. */
+  /** Sets the data with which the caller can resume the answer from now on. */
   setResume(resumeData: string): void;
   /**
-   * Passes tokens on. Gives undefined when the caller can take more at once,
-   * else what resolves when it can.
+   * Sends tokens. Returns undefined when the caller can take more at once,
+   * otherwise a promise that resolves when it can.
    */
   write(tokens: readonly AnswerToken[]): Promise<void> | undefined;
-  /** Ends a whole answer. */
+  /** Completes the answer. */
   end(end: AnswerEnd): void;
-  /** Ends an answer that cannot be made whole here. */
+  /** Ends an answer that cannot be completed here with an error. */
   fail(error: KnownError): void;
 }
--- a/packages/daemon/src/answer/attempt_outcome.ts
+++ b/packages/daemon/src/answer/attempt_outcome.ts
@@ -1,15 +1,18 @@
-/** What the end of a leg says of its request and of its endpoint. */
+/** What an attempt's result means for its request and for its endpoint. */
 import type {EndpointOutcome} from '../endpoint/endpoint_record.js';
 import type {AttemptResult} from './answer_attempt.js';
 
-/** Anything but a refusal or a connection never made may have reached it. */
+/**
+ * Tells whether the engine may have run the order. Only a refusal or a failed
+ * connection attempt rules that out.
+ */
 export function hasPossiblyRun(result: AttemptResult): boolean {
   if (result.kind === 'stopped') return result.sent;
   if (result.kind === 'ended') return true;
   return result.loss !== 'refused' && result.loss !== 'unreachable';
 }
 
-/** Gives what a leg says of its endpoint. */
+/** Returns the outcome to record for the endpoint's health. */
 export function getEndpointOutcome(result: AttemptResult): EndpointOutcome {
   if (result.kind === 'ended') return 'done';
   if (result.kind === 'stopped') return 'neutral';
--- a/packages/daemon/src/answer/body_sink.ts
+++ b/packages/daemon/src/answer/body_sink.ts
@@ -1,4 +1,4 @@
-/** Collects an answer and sends it in one body. */
+/** Collects an answer and sends it in one response body. */
 import type {ServerResponse} from 'node:http';
 import type {KnownError} from '@irisdock/kernel';
 import {sendError, sendJson} from '@irisdock/web';
@@ -7,7 +7,7 @@
 import {formatCompletion, type CompletionHead} from './completion_format.js';
 import {REQUEST_ID_HEADER, RESUME_HEADER} from '../caller/headers.js';
 
-/** A caller that waits for the whole answer. */
+/** The sink for a caller that waits for the whole answer. */
 export class BodySink implements AnswerSink {
   readonly signal: AbortSignal;
   private readonly texts: string[] = [];
--- a/packages/daemon/src/answer/caller_signal.ts
+++ b/packages/daemon/src/answer/caller_signal.ts
@@ -1,7 +1,7 @@
-/** Tells when a caller is gone. */
+/** An abort signal for callers that disconnect. */
 import type {ServerResponse} from 'node:http';
 
-/** Gives a signal that is aborted when the connection ends too early. */
+/** Creates a signal that aborts if the response closes before it is sent. */
 export function createCallerSignal(response: ServerResponse): AbortSignal {
   const controller = new AbortController();
   if (response.destroyed) controller.abort();
--- a/packages/daemon/src/answer/completion_format.ts
+++ b/packages/daemon/src/answer/completion_format.ts
@@ -1,6 +1,6 @@
-/** Answers in the OpenAI shape. */
+/** Formats answers in the format of OpenAI's completions API. */
 
-/** What all parts of an answer say. */
+/** The fields that all chunks of an answer share. */
 export interface CompletionHead {
   readonly id: string;
   readonly model: string;
@@ -8,17 +8,17 @@
   readonly created: number;
 }
 
-// Cannot be in an id or a service's name.
-const MARK = '\u0000';
+/** Replaced by a chunk's text; cannot occur in an id or a service's name. */
+const TEXT_PLACEHOLDER = '\u0000';
 
-/** Formats the tokens of one answer; what its chunks share is made once. */
+/** Formats one answer's tokens; serializes the shared fields only once. */
 export class ChunkFormat {
   private readonly before: string;
   private readonly after: string;
 
   constructor(private readonly head: CompletionHead) {
-    const chunk = JSON.stringify(createChunk(head, MARK));
-    const [before, after] = chunk.split(JSON.stringify(MARK));
+    const chunk = JSON.stringify(createChunk(head, TEXT_PLACEHOLDER));
+    const [before, after] = chunk.split(JSON.stringify(TEXT_PLACEHOLDER));
     this.before = before ?? '';
     this.after = after ?? '';
   }
@@ -28,7 +28,7 @@
     return this.before + JSON.stringify(text) + this.after;
   }
 
-  /** Formats one token together with new resume data. */
+  /** Formats one token with new resume data. */
   formatWithResume(text: string, resume: string): string {
     return JSON.stringify({
       ...createChunk(this.head, text),
--- a/packages/daemon/src/answer/driver_lock.ts
+++ b/packages/daemon/src/answer/driver_lock.ts
@@ -1,62 +1,62 @@
 /**
- * One driver at a time for one request. A newer driver stops the one before
- * and takes its turn after it, so that the newest connection of the caller is
- * the one that gets the answer.
+ * Allows one driver at a time per request. A newer driver stops the current one
+ * and waits until it has released the lock, so that the caller's newest
+ * connection receives the answer.
  */
 
-/** Held by the driver that runs a request. */
+/** The lock held by the driver that runs a request. */
 export class DriverLock {
-  /** Drivers that hold the lock or wait for it. */
-  private drivers = 0;
-  /** Of the driver that came last. */
-  private newest = new AbortController();
-  /** Resolves once the driver that came last has ended. */
-  private newestEnded: Promise<void> = Promise.resolve();
-  /** Of the driver that holds the lock, or held it last. */
-  private holder = this.newest;
-  private resolveEnded: () => void = () => undefined;
+  /** The number of drivers that hold the lock or wait for it. */
+  private driverCount = 0;
+  /** Stops the driver that arrived last. */
+  private newestController = new AbortController();
+  /** Resolves once the driver that arrived last has released the lock. */
+  private newestReleased: Promise<void> = Promise.resolve();
+  /** Stops the driver that holds the lock, or held it last. */
+  private holderController = this.newestController;
+  private resolveReleased: () => void = () => undefined;
 
-  /** Whether no driver runs the request and none waits to. */
+  /** Whether no driver holds the lock or waits for it. */
   get isFree(): boolean {
-    return this.drivers === 0;
+    return this.driverCount === 0;
   }
 
   /** Whether a newer driver waits for the holder. */
   get hasWaiter(): boolean {
-    return this.drivers > 1;
+    return this.driverCount > 1;
   }
 
-  /** Of the holder; aborted when a newer driver wants the lock. */
+  /** The holder's signal; aborted when a newer driver wants the lock. */
   get signal(): AbortSignal {
-    return this.holder.signal;
+    return this.holderController.signal;
   }
 
-  /** Stops the driver before and takes the lock once that has ended. */
+  /** Stops the previous driver and acquires the lock after its release. */
   async acquire(): Promise<void> {
-    this.drivers++;
-    this.newest.abort();
+    this.driverCount++;
+    this.newestController.abort();
     const controller = new AbortController();
-    this.newest = controller;
-    const before = this.newestEnded;
+    this.newestController = controller;
+    const previousReleased = this.newestReleased;
     let resolveOwn: () => void = () => undefined;
-    this.newestEnded = new Promise((resolve) => {
+    this.newestReleased = new Promise((resolve) => {
       resolveOwn = resolve;
     });
-    await before;
-    // What is set here is set before anything else can run.
-    this.holder = controller;
-    this.resolveEnded = resolveOwn;
+    await previousReleased;
+    // No other code runs between the resumption and these assignments.
+    this.holderController = controller;
+    this.resolveReleased = resolveOwn;
   }
 
-  /** Stops the holder and whoever waits. */
+  /** Stops the holder and all waiting drivers. */
   stop(): void {
-    this.holder.abort();
-    this.newest.abort();
+    this.holderController.abort();
+    this.newestController.abort();
   }
 
-  /** Gives the lock back. */
+  /** Releases the lock. */
   release(): void {
-    this.drivers--;
-    this.resolveEnded();
+    this.driverCount--;
+    this.resolveReleased();
   }
 }
--- a/packages/daemon/src/answer/engine_chooser.ts
+++ b/packages/daemon/src/answer/engine_chooser.ts
@@ -1,4 +1,7 @@
-/** Chooses the engine for a request: rules, models, load, prefixes. */
+/**
+ * Chooses the engine for a request by placement rules, loaded models, load and
+ * cached prompt prefixes.
+ */
 import type {Random} from '@irisdock/kernel';
 import {
   chooseEndpoint,
@@ -11,17 +14,19 @@
 import type {EndpointDirectory} from '../services/endpoint_directory.js';
 import type {GenerationRequest} from './request_record.js';
 
-/** What a choice goes by besides the request. */
+/** The criteria of a choice besides the request. */
 export interface ChoiceOptions {
-  /** Endpoints that just failed the request. */
+  /** Addresses of endpoints that have just failed the request. */
   readonly avoid: ReadonlySet<string>;
-  /** Whether an answer under way is continued; it goes before new work. */
+  /** Whether a started answer is continued; it has priority over new work. */
   readonly resuming: boolean;
 }
 
-const FULL_AT = 1;
-const FULL_AT_RESUMING = 1.5;
-const LOST_TO_AVOID_DOMAIN = 2;
+/** Load per slot from which an endpoint gets no new work. */
+const MAX_LOAD = 1;
+const MAX_LOAD_RESUMING = 1.5;
+/** Unresponsive endpoints from which on their failure domain is avoided. */
+const MIN_LOST_TO_AVOID_DOMAIN = 2;
 
 /** Chooses engines for one request. */
 export class EngineChooser {
@@ -34,7 +39,7 @@
     private readonly random: Random,
   ) {}
 
-  /** Chooses an engine with room; undefined when there is none. */
+  /** Chooses an engine with spare capacity; undefined if there is none. */
   choose(options: ChoiceOptions): EndpointRecord | undefined {
     const {service, team} = this.request;
     const rules = this.configuration.listSpecs('placementRule');
@@ -51,7 +56,7 @@
           ? listLostDomains(records)
           : new Set<string>(),
         preferDomains: placement.preferred,
-        maxLoad: options.resuming ? FULL_AT_RESUMING : FULL_AT,
+        maxLoad: options.resuming ? MAX_LOAD_RESUMING : MAX_LOAD,
       },
       (address) => this.directory.prefixes.countHits(address, blocks),
       this.random,
@@ -79,13 +84,15 @@
   }
 }
 
-/** Domains in which several endpoints do not answer. */
+/** Lists the failure domains in which several endpoints do not respond. */
 function listLostDomains(records: readonly EndpointRecord[]): Set<string> {
   const lost = new Map<string, number>();
   for (const {isAnswering, failureDomain} of records) {
     if (isAnswering) continue;
     lost.set(failureDomain, (lost.get(failureDomain) ?? 0) + 1);
   }
-  const many = [...lost].filter(([, count]) => count >= LOST_TO_AVOID_DOMAIN);
-  return new Set(many.map(([domain]) => domain));
+  const affected = [...lost].filter(
+    ([, count]) => count >= MIN_LOST_TO_AVOID_DOMAIN,
+  );
+  return new Set(affected.map(([domain]) => domain));
 }
--- a/packages/daemon/src/answer/event_sink.ts
+++ b/packages/daemon/src/answer/event_sink.ts
@@ -1,4 +1,4 @@
-/** Passes an answer on as server-sent events, the id being the offset. */
+/** Streams an answer as server-sent events whose ids are token offsets. */
 import type {ServerResponse} from 'node:http';
 import type {KnownError} from '@irisdock/kernel';
 import {formatError, formatEvent, sendError, startEvents} from '@irisdock/web';
@@ -11,11 +11,11 @@
 } from './completion_format.js';
 import {REQUEST_ID_HEADER, RESUME_HEADER} from '../caller/headers.js';
 
-/** A caller's stream. */
+/** The sink for a caller that reads an event stream. */
 export class EventSink implements AnswerSink {
   readonly signal: AbortSignal;
   private readonly format: ChunkFormat;
-  private resume: string | undefined;
+  private pendingResume: string | undefined;
 
   constructor(
     private readonly response: ServerResponse,
@@ -26,7 +26,7 @@
   }
 
   setResume(resumeData: string): void {
-    this.resume = resumeData;
+    this.pendingResume = resumeData;
     if (this.response.headersSent) return;
     startEvents(this.response, {
       [REQUEST_ID_HEADER]: this.head.id,
@@ -35,12 +35,12 @@
   }
 
   write(tokens: readonly AnswerToken[]): Promise<void> | undefined {
-    let wire = '';
+    let events = '';
     for (const {offset, text} of tokens) {
       const data = this.formatToken(text);
-      wire += formatEvent({id: offset, data});
+      events += formatEvent({id: offset, data});
     }
-    if (this.response.write(wire) || this.signal.aborted) return undefined;
+    if (this.response.write(events) || this.signal.aborted) return undefined;
     return this.waitDrained();
   }
 
@@ -72,9 +72,9 @@
   }
 
   private formatToken(text: string): string {
-    const {resume} = this;
-    if (resume === undefined) return this.format.formatToken(text);
-    this.resume = undefined;
-    return this.format.formatWithResume(text, resume);
+    const {pendingResume} = this;
+    if (pendingResume === undefined) return this.format.formatToken(text);
+    this.pendingResume = undefined;
+    return this.format.formatWithResume(text, pendingResume);
   }
 }
--- a/packages/daemon/src/answer/record_finder.ts
+++ b/packages/daemon/src/answer/record_finder.ts
@@ -1,6 +1,6 @@
 /**
- * Finds the record that a request goes on with: the one that this host keeps,
- * a new one for a start, or a new one that takes over what began elsewhere.
+ * Finds the record for an incoming request: the one this host has, a new one
+ * for a new request, or a new one that takes over an answer started elsewhere.
  */
 import type {Clock, KnownError, Random} from '@irisdock/kernel';
 import {
@@ -15,20 +15,20 @@
 import type {RequestLedger} from './request_ledger.js';
 import {RequestRecord, type GenerationRequest} from './request_record.js';
 
-/** A request as it comes from a caller. */
+/** A caller's request for text, parsed and checked. */
 export interface StreamRequest {
   readonly id: ParsedRequestId;
   readonly request: GenerationRequest;
-  /** The offset of the first token that the caller still wants. */
+  /** The offset of the first token that the caller still needs. */
   readonly fromOffset: number;
-  /** Whether the caller goes on with an answer it began to get. */
+  /** Whether the caller resumes an answer that it received in part. */
   readonly resuming: boolean;
   readonly resumeData: ResumeData | undefined;
-  /** The text before `fromOffset`, when the caller sent it. */
+  /** The text before `fromOffset`, if the caller sent it. */
   readonly receivedText: string | undefined;
 }
 
-/** What finding works with. */
+/** The dependencies of a record finder. */
 export interface RecordFinderParts {
   readonly ledger: RequestLedger<RequestRecord>;
   readonly ownership: Ownership;
@@ -36,56 +36,59 @@
   readonly random: Random;
 }
 
-/** Names of records are drawn below this; two of a request never meet. */
-const NAMES = 2 ** 40;
+/** Record names are drawn below this bound; a request's names never clash. */
+const RECORD_NAME_RANGE = 2 ** 40;
 
-/** Finds records. */
+/** Finds or creates the records of requests. */
 export class RecordFinder {
   constructor(private readonly parts: RecordFinderParts) {}
 
-  /** Finds or creates the record of a request, or gives the reason why not. */
-  find(ask: StreamRequest): Result<RequestRecord, OwnerRefusal> {
-    const {request, resumeData} = ask;
-    const kept = this.parts.ledger.find(request.id);
-    // What went on elsewhere is taken over anew, as if nothing were kept.
-    const record = kept && isFit(kept, ask) ? kept : undefined;
+  /** Finds or creates a request's record, or returns the refusal. */
+  find(incoming: StreamRequest): Result<RequestRecord, OwnerRefusal> {
+    const {request, resumeData} = incoming;
+    const own = this.parts.ledger.find(request.id);
+    // An answer that was continued elsewhere is taken over again, as if this
+    // host had no record of it.
+    const record = own && isResumable(own, incoming) ? own : undefined;
     const permission = this.parts.ownership.check({
-      id: ask.id,
+      id: incoming.id,
       repeatable: request.repeatable,
-      resuming: ask.resuming,
+      resuming: incoming.resuming,
       hasResumeData: resumeData !== undefined,
       ledger: record === undefined ? undefined : toLedgerState(record),
     });
     if (permission.isErr()) return err(permission.error);
-    const refusal = this.findMismatch(ask, kept, record);
+    const refusal = this.findMismatch(incoming, own, record);
     if (refusal !== undefined) return err({error: refusal});
     if (permission.value === 'join' && record !== undefined) {
       return ok(record);
     }
-    if (permission.value === 'start') return this.createStart(ask, kept);
-    return ok(this.createTakeOver(ask, kept));
+    if (permission.value === 'start') return this.createStart(incoming, own);
+    return ok(this.createTakeover(incoming, own));
   }
 
   /**
-   * @param kept What is kept of the request here.
-   * @param record The same, when the caller may go on with it.
+   * Returns why the request contradicts what is known of it, if it does.
+   *
+   * @param own The record of the request on this host.
+   * @param record The same record, if the caller can resume from it.
    */
   private findMismatch(
-    ask: StreamRequest,
-    kept: RequestRecord | undefined,
+    incoming: StreamRequest,
+    own: RequestRecord | undefined,
     record: RequestRecord | undefined,
   ): KnownError | undefined {
-    const {digest, id} = ask.request;
-    const {resumeData} = ask;
-    const others = [kept?.request.digest, resumeData?.digest];
+    const {digest, id} = incoming.request;
+    const {resumeData} = incoming;
+    const others = [own?.request.digest, resumeData?.digest];
     const sameBody = others.every((other) => (other ?? digest) === digest);
     const sameId = (resumeData?.request ?? id) === id;
     if (!sameBody || !sameId) return DAEMON_ERRORS.create('resume_mismatch');
     if (record === undefined) return undefined;
-    if (ask.fromOffset > record.nextOffset) {
+    if (incoming.fromOffset > record.nextOffset) {
       return DAEMON_ERRORS.create('resume_mismatch');
     }
-    if (ask.fromOffset >= record.firstOffset) return undefined;
+    if (incoming.fromOffset >= record.firstOffset) return undefined;
     if (record.state === 'ended') {
       return DAEMON_ERRORS.create('answer_forgotten');
     }
@@ -93,36 +96,41 @@
   }
 
   private createStart(
-    ask: StreamRequest,
-    kept: RequestRecord | undefined,
+    incoming: StreamRequest,
+    own: RequestRecord | undefined,
   ): Result<RequestRecord, OwnerRefusal> {
-    const {request, fromOffset, receivedText} = ask;
+    const {request, fromOffset, receivedText} = incoming;
     if (fromOffset > 0 && receivedText === undefined) {
       return err({error: DAEMON_ERRORS.create('resume_text_needed')});
     }
     const record = this.createRecord(request, fromOffset, receivedText ?? '');
     if (fromOffset === 0) return ok(record);
-    // What began elsewhere is continued, at a number above what is usual.
+    // An answer started elsewhere is continued under a generation number above
+    // those of the earlier host.
     record.mayHaveRun = true;
-    record.takeover = (kept?.takeover ?? 0) + 1;
-    kept?.lock.stop();
+    record.takeover = (own?.takeover ?? 0) + 1;
+    own?.lock.stop();
     return ok(record);
   }
 
-  /** @param kept What is kept of it here, and what the caller left behind. */
-  private createTakeOver(
-    ask: StreamRequest,
-    kept: RequestRecord | undefined,
+  /**
+   * Creates a record that takes over an answer started elsewhere.
+   *
+   * @param own A record on this host that the caller has left behind.
+   */
+  private createTakeover(
+    incoming: StreamRequest,
+    own: RequestRecord | undefined,
   ): RequestRecord {
-    const {request, fromOffset, resumeData} = ask;
-    const text = fromOffset === 0 ? '' : ask.receivedText;
+    const {request, fromOffset, resumeData} = incoming;
+    const text = fromOffset === 0 ? '' : incoming.receivedText;
     const record = this.createRecord(request, fromOffset, text);
     record.mayHaveRun = true;
     const before = getTakeoverCount(resumeData?.generation ?? 0);
-    record.takeover = Math.max(before, kept?.takeover ?? 0) + 1;
+    record.takeover = Math.max(before, own?.takeover ?? 0) + 1;
     record.endpoint = resumeData?.endpoint ?? '';
-    // Its driver, should it still run, gives to a connection that was left.
-    kept?.lock.stop();
+    // If its driver still runs, it serves a connection the caller abandoned.
+    own?.lock.stop();
     return record;
   }
 
@@ -132,21 +140,21 @@
     textBefore: string | undefined,
   ): RequestRecord {
     const {random, clock} = this.parts;
-    const name = random.getInt(NAMES).toString(36);
+    const name = random.getInt(RECORD_NAME_RANGE).toString(36);
     const record = new RequestRecord(request, name, fromOffset, textBefore);
     this.parts.ledger.add(request.id, record, clock.getNow());
     return record;
   }
 }
 
-/** Tells whether a caller goes on from what is kept. */
-function isFit(kept: RequestRecord, ask: StreamRequest): boolean {
+/** Tells whether a caller can resume from a record. */
+function isResumable(own: RequestRecord, incoming: StreamRequest): boolean {
   return isRecordFit({
-    fromOffset: ask.fromOffset,
-    callerRecord: ask.resumeData?.record,
-    receivedText: ask.receivedText,
-    ownRecord: kept.name,
-    ownText: kept.getTextBefore(ask.fromOffset),
+    fromOffset: incoming.fromOffset,
+    callerRecord: incoming.resumeData?.record,
+    receivedText: incoming.receivedText,
+    ownRecord: own.name,
+    ownText: own.getTextBefore(incoming.fromOffset),
   });
 }
 
--- a/packages/daemon/src/answer/request_ledger.ts
+++ b/packages/daemon/src/answer/request_ledger.ts
@@ -1,24 +1,24 @@
 /**
- * Which requests this host has started, for as long as their ids may still
- * come again. An entry leaves only by age, or when nothing of it ran.
+ * The requests that this host has started, kept for as long as their ids may
+ * arrive again. An entry is removed only by age or if nothing of it ran.
  */
 
-/** What is kept of any request. */
+/** An entry of the ledger. */
 export interface LedgerEntry<T> {
   readonly value: T;
   readonly addedAtMs: number;
 }
 
-/** Requests by id, forgotten by age. */
+/** Requests by id, removed by age. */
 export class RequestLedger<T> {
   private readonly entries = new Map<string, LedgerEntry<T>>();
 
   constructor(
     private readonly keepMs: number,
-    private readonly onForget: (value: T) => boolean,
+    private readonly canForget: (value: T) => boolean,
   ) {}
 
-  /** The number of requests kept. */
+  /** The number of requests in the ledger. */
   get size(): number {
     return this.entries.size;
   }
@@ -30,22 +30,22 @@
 
   /** Adds a request. */
   add(id: string, value: T, now: number): void {
-    // Taken out first, so that entries stay in the order of their age.
+    // Removed first, so that the entries stay ordered by age.
     this.entries.delete(id);
     this.entries.set(id, {value, addedAtMs: now});
   }
 
-  /** Takes out a request of which nothing ran, unless it is another now. */
+  /** Removes a request of which nothing ran, unless it was replaced. */
   remove(id: string, value: T): void {
     if (this.find(id) === value) this.entries.delete(id);
   }
 
-  /** Forgets what is old, unless `onForget` says that it still runs. */
+  /** Drops expired entries for which `canForget` returns true. */
   dropExpired(now: number): void {
     for (const [id, {value, addedAtMs: addedAt}] of this.entries) {
-      // Entries are in the order of their age.
+      // Entries are ordered by age.
       if (now - addedAt < this.keepMs) return;
-      if (this.onForget(value)) this.entries.delete(id);
+      if (this.canForget(value)) this.entries.delete(id);
     }
   }
 
--- a/packages/daemon/src/answer/request_record.ts
+++ b/packages/daemon/src/answer/request_record.ts
@@ -1,12 +1,12 @@
 /**
- * What a host keeps of a request it runs or ran: the tokens made here, where
- * they come from, and how it stands. From it an answer is taken up again, and
- * a request that was sent twice is recognised.
+ * A host's record of a request that it runs or ran: the tokens generated here,
+ * their endpoint and the request's state. Answers are resumed from it, and
+ * requests that were sent twice are recognized by it.
  */
 import type {GenerationSpec} from '@irisdock/resources';
 import {DriverLock} from './driver_lock.js';
 
-/** A checked request for text. */
+/** A validated request for text generation. */
 export interface GenerationRequest {
   readonly id: string;
   readonly service: string;
@@ -19,35 +19,36 @@
   readonly prompt: string;
   readonly maxTokens: number;
   readonly repeatable: boolean;
-  /** How long it may wait before it starts, in milliseconds. */
+  /** The longest wait in the queue, in milliseconds. */
   readonly maxQueueMs: number;
-  /** A digest of what makes the answer: service, prompt, bounds. */
+  /** A digest of what determines the answer: service, prompt, limits. */
   readonly digest: string;
 }
 
-/** How a request stands on this host. */
+/** The state of a request on this host. */
 export type RecordState = 'dropped' | 'ended' | 'running';
 
-/** A request on this host. */
+/** The record of a request on this host. */
 export class RequestRecord {
   state: RecordState = 'running';
   endReason = '';
   generation = 0;
-  /** Take-overs between hosts before this one. */
+  /** How often the request has been taken over between hosts. */
   takeover = 0;
   attempts = 0;
   /** Whether an order for it may have reached an engine. */
   mayHaveRun = false;
-  /** The endpoint that runs its present generation. */
+  /** The address of the endpoint that runs the current generation. */
   endpoint = '';
   /** Held by the driver that runs it. */
   readonly lock = new DriverLock();
   private tokens: string[] = [];
 
   /**
-   * @param name Its own, among all records of the request on any host.
-   * @param first The offset of the first token kept here.
-   * @param textBefore The text before it; undefined when only the caller
+   * @param name The record's name, unique among the request's records on all
+   *     hosts.
+   * @param first The offset of the first token in this record.
+   * @param textBefore The text before that token; undefined if only the caller
    *     has it.
    */
   constructor(
@@ -57,38 +58,38 @@
     private textBefore: string | undefined,
   ) {}
 
-  /** The offset of the first token that is kept. */
+  /** The offset of the first token in this record. */
   get firstOffset(): number {
     return this.first;
   }
 
-  /** The offset of the token that comes next. */
+  /** The offset of the next token. */
   get nextOffset(): number {
     return this.first + this.tokens.length;
   }
 
-  /** The text so far; undefined when a part of it is not known here. */
+  /** The text so far; undefined if part of it is not known here. */
   get text(): string | undefined {
     return this.getTextBefore(this.nextOffset);
   }
 
-  /** Gives the text before an offset; undefined when it is not known here. */
+  /** Returns the text before an offset; undefined if it is not known here. */
   getTextBefore(offset: number): string | undefined {
     if (this.textBefore === undefined || offset < this.first) return undefined;
     return this.textBefore + this.tokens.slice(0, offset - this.first).join('');
   }
 
-  /** Keeps a token. */
+  /** Appends a token. */
   addToken(text: string): void {
     this.tokens.push(text);
   }
 
-  /** Gives the tokens from an offset on. */
+  /** Returns the tokens from an offset on. */
   getTokensFrom(offset: number): readonly string[] {
     return this.tokens.slice(Math.max(0, offset - this.first));
   }
 
-  /** Forgets the tokens, when nobody will ask for them any more. */
+  /** Discards the tokens once no caller can ask for them any more. */
   dropTokens(): void {
     this.first = this.nextOffset;
     this.textBefore = undefined;
--- a/packages/daemon/src/answer/stall_detector.ts
+++ b/packages/daemon/src/answer/stall_detector.ts
@@ -1,73 +1,74 @@
 /**
- * Watches one stream for silence: after a while its endpoint is asked whether
- * it answers; if it does not, or if the silence lasts, the stream is lost.
+ * Detects a stalled stream. After a time without events its endpoint is probed;
+ * if the probe fails, or if no event arrives for longer still, the stream is
+ * reported as lost.
  */
 import type {Clock} from '@irisdock/kernel';
 import type {StallLimits} from '@irisdock/decisions';
 
-/** How a silent stream was lost. */
+/** Why a stream without events was lost: the probe failed, or time ran out. */
 export type StallKind = 'silent' | 'stalled';
 
-/** What a watch asks and tells. */
+/** The dependencies and callbacks of a detector. */
 export interface StallDetectorParts {
   readonly clock: Clock;
-  /** The limits as they are now. */
+  /** Returns the current limits. */
   getLimits(): StallLimits;
-  /** Asks the endpoint; true when it answers. */
+  /** Probes the endpoint; resolves to true if it answers. */
   probe(): Promise<boolean>;
   handleLoss(kind: StallKind): void;
-  /** Called once for a silence in which the endpoint answers. */
+  /** Called once per pause in the stream if the endpoint answers a probe. */
   handleQuiet(): void;
 }
 
-// A timer that fires this late says that this process stood still itself.
-const LATE_MS = 100;
+/** A timer that fires later than this means that this process was paused. */
+const MAX_TIMER_DELAY_MS = 100;
 
-/** Watches one stream. */
+/** Detects stalls of one stream. */
 export class StallDetector {
-  private lastAt: number;
+  private lastEventAt: number;
   private timer: NodeJS.Timeout | undefined;
   private paused = false;
   private stopped = false;
-  /** The silence that was told of, by its beginning. */
-  private quietSince: number | undefined;
+  /** Value of `lastEventAt` for which a quiet stream was last reported. */
+  private quietReportedFor: number | undefined;
 
   constructor(private readonly parts: StallDetectorParts) {
-    this.lastAt = parts.clock.getNow();
+    this.lastEventAt = parts.clock.getNow();
   }
 
-  /** Starts to watch. */
+  /** Starts the detection. */
   start(): void {
     this.markActive();
-    this.plan(this.parts.getLimits().probeMs);
+    this.planCheck(this.parts.getLimits().probeMs);
   }
 
-  /** Notes that something came; gives the silence before it, in ms. */
+  /** Records an event; returns the time since the previous one, in ms. */
   markActive(): number {
     const now = this.parts.clock.getNow();
-    const gap = now - this.lastAt;
-    this.lastAt = now;
+    const gap = now - this.lastEventAt;
+    this.lastEventAt = now;
     return gap;
   }
 
-  /** Does not count silence while this side does not read. */
+  /** Stops counting time, while this side does not read the stream. */
   pause(): void {
     this.paused = true;
   }
 
-  /** Counts silence again. */
+  /** Counts time again from now on. */
   resume(): void {
     this.paused = false;
     this.markActive();
   }
 
-  /** Watches no more. */
+  /** Stops the detection. */
   stop(): void {
     this.stopped = true;
     clearTimeout(this.timer);
   }
 
-  private plan(ms: number): void {
+  private planCheck(ms: number): void {
     if (this.stopped) return;
     const dueAt = this.parts.clock.getNow() + ms;
     this.timer = setTimeout(() => {
@@ -77,28 +78,28 @@
 
   private async check(dueAt: number): Promise<void> {
     const now = this.parts.clock.getNow();
-    if (this.paused || now - dueAt > LATE_MS) this.lastAt = now;
+    if (this.paused || now - dueAt > MAX_TIMER_DELAY_MS) this.lastEventAt = now;
     const {probeMs, lostMs} = this.parts.getLimits();
-    const silence = now - this.lastAt;
-    if (silence < probeMs) {
-      this.plan(probeMs - silence);
+    const silenceMs = now - this.lastEventAt;
+    if (silenceMs < probeMs) {
+      this.planCheck(probeMs - silenceMs);
       return;
     }
-    if (silence >= lostMs) {
+    if (silenceMs >= lostMs) {
       this.reportLoss('stalled');
       return;
     }
-    const {lastAt} = this;
-    const answers = await this.parts.probe();
-    const stillSilent = this.lastAt === lastAt && !this.paused;
-    if (stillSilent && answers) this.reportQuiet();
-    if (!answers && stillSilent) this.reportLoss('silent');
-    else this.plan(Math.min(probeMs, Math.max(1, lostMs - silence)));
+    const {lastEventAt} = this;
+    const isAnswering = await this.parts.probe();
+    const isStillSilent = this.lastEventAt === lastEventAt && !this.paused;
+    if (isStillSilent && isAnswering) this.reportQuiet();
+    if (!isAnswering && isStillSilent) this.reportLoss('silent');
+    else this.planCheck(Math.min(probeMs, Math.max(1, lostMs - silenceMs)));
   }
 
   private reportQuiet(): void {
-    if (this.stopped || this.quietSince === this.lastAt) return;
-    this.quietSince = this.lastAt;
+    if (this.stopped || this.quietReportedFor === this.lastEventAt) return;
+    this.quietReportedFor = this.lastEventAt;
     this.parts.handleQuiet();
   }
 
--- a/packages/daemon/src/answer/stream_metrics.ts
+++ b/packages/daemon/src/answer/stream_metrics.ts
@@ -1,10 +1,10 @@
-/** What is counted of streams. */
+/** The metrics of answer streams. */
 import {Counter, Histogram, type Registry} from 'prom-client';
 
 const RESUME_BUCKETS = [0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 1.5, 2, 3, 5, 10];
 const FIRST_TOKEN_BUCKETS = [0.05, 0.1, 0.25, 0.5, 0.96, 2, 5, 10, 30];
 
-/** The metrics of streams. */
+/** Counters and histograms of answer streams. */
 export class StreamMetrics {
   readonly tokens: Counter;
   readonly dropped: Counter;
@@ -19,41 +19,41 @@
     const registers = [registry];
     this.tokens = new Counter({
       name: 'irisdock_streams_tokens_total',
-      help: 'Tokens passed on to callers, a count.',
+      help: 'Number of tokens sent to callers.',
       registers,
     });
     this.dropped = new Counter({
       name: 'irisdock_streams_tokens_dropped_total',
-      help: 'Tokens from engines that were not passed on, a count, by reason.',
+      help: 'Number of engine tokens not sent to callers, by reason.',
       labelNames: ['reason'],
       registers,
     });
     this.losses = new Counter({
       name: 'irisdock_streams_losses_total',
-      help: 'Streams lost before their end, a count, by kind.',
+      help: 'Number of engine streams lost before their end, by kind.',
       labelNames: ['kind'],
       registers,
     });
     this.orders = new Counter({
       name: 'irisdock_streams_orders_total',
-      help: 'Streams asked of engines, a count, by mode.',
+      help: 'Number of streams requested from engines, by mode.',
       labelNames: ['mode'],
       registers,
     });
     this.falseAlarms = new Counter({
       name: 'irisdock_streams_false_alarms_total',
-      help: 'Silent streams given up whose engine answered soon, a count.',
+      help: 'Number of stalled streams abandoned whose engine then answered.',
       registers,
     });
     this.answers = new Counter({
       name: 'irisdock_streams_answers_total',
-      help: 'Answers that ended, a count, by outcome.',
+      help: 'Number of finished answers, by outcome.',
       labelNames: ['outcome'],
       registers,
     });
     this.resumeSeconds = new Histogram({
       name: 'irisdock_streams_resume_seconds',
-      help: 'Time from the last token before a loss to the next one.',
+      help: 'Time from the last token before a loss to the next token.',
       buckets: RESUME_BUCKETS,
       registers,
     });
--- a/packages/daemon/src/answer/streams_settings.ts
+++ b/packages/daemon/src/answer/streams_settings.ts
@@ -1,4 +1,4 @@
-/** The settings of the service `streams`: how patient it is, and with whom. */
+/** The settings of the service `streams`: its timeouts and retention times. */
 import {DEFAULT_STALL_BOUNDS} from '@irisdock/decisions';
 import * as z from 'zod';
 
@@ -11,7 +11,7 @@
     .default(DEFAULT_STALL_BOUNDS.minProbeMs)
     .meta({
       unit: 'ms',
-      description: 'The shortest silence after which an engine is asked.',
+      description: 'Minimum time without events before an engine is probed.',
     }),
   maxProbeMs: z.coerce
     .number()
@@ -20,7 +20,7 @@
     .default(DEFAULT_STALL_BOUNDS.maxProbeMs)
     .meta({
       unit: 'ms',
-      description: 'The longest silence before an engine is asked.',
+      description: 'Maximum time without events before an engine is probed.',
     }),
   minLostMs: z.coerce
     .number()
@@ -29,7 +29,7 @@
     .default(DEFAULT_STALL_BOUNDS.minLostMs)
     .meta({
       unit: 'ms',
-      description: 'The shortest silence that loses an engine that answers.',
+      description: 'Shortest gap that loses a stream whose engine answers.',
     }),
   maxLostMs: z.coerce
     .number()
@@ -38,30 +38,30 @@
     .default(DEFAULT_STALL_BOUNDS.maxLostMs)
     .meta({
       unit: 'ms',
-      description: 'The longest silence of an engine that answers.',
+      description: 'Longest gap in a stream whose engine answers.',
     }),
   probeTimeoutMs: z.coerce.number().int().min(20).default(300).meta({
     unit: 'ms',
-    description: 'The longest that an engine may take to answer a probe.',
+    description: 'Timeout of a probe of an engine.',
   }),
   minFirstTokenMs: z.coerce.number().int().min(100).default(2000).meta({
     unit: 'ms',
-    description: 'The least that the wait for a first token is bounded to.',
+    description: 'Lower bound of the time limit for a first token.',
   }),
   firstTokenMs: z.coerce.number().int().min(100).default(20_000).meta({
     unit: 'ms',
-    description: 'The longest wait for the first token of an engine.',
+    description: 'Upper bound of the time limit for a first token.',
   }),
   resumeWaitMs: z.coerce.number().int().min(0).default(8000).meta({
     unit: 'ms',
-    description: 'How long an endpoint is looked for after a loss.',
+    description: 'How long to search for an endpoint after a loss.',
   }),
   keepEndedMs: z.coerce.number().int().min(0).default(30_000).meta({
     unit: 'ms',
-    description: 'How long the text of an ended answer is kept.',
+    description: 'How long the text of a finished answer is kept.',
   }),
   graceMs: z.coerce.number().int().min(0).default(8000).meta({
     unit: 'ms',
-    description: 'How long a generation waits for its caller to come back.',
+    description: 'How long a generation waits for its caller to reconnect.',
   }),
 });
--- a/packages/daemon/tests/driver_lock.test.ts
+++ b/packages/daemon/tests/driver_lock.test.ts
@@ -1,4 +1,7 @@
-/** One driver at a time, and the newest at the end. */
+/**
+ * A request has one driver at a time, and its newest driver runs last. Guards
+ * against two drivers that write to the same record and engine.
+ */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import fc from 'fast-check';
@@ -6,61 +9,63 @@
 
 const RUN_OPTIONS = {seed: 4711, numRuns: 200};
 
-/** Lets so many turns of pending callbacks run. */
+/** Waits for a number of microtask turns. */
 async function runTurns(turns: number): Promise<void> {
   for (let turn = 0; turn < turns; turn++) await Promise.resolve();
 }
 
-/** A driver: holds the lock until it is stopped, or some turns long. */
-interface Play {
-  /** Turns after which it asks for the lock. */
-  readonly comesAfter: number;
-  /** Turns that it takes to end once it is stopped. */
-  readonly endsIn: number;
+/** A driver that holds the lock until it is stopped or 200 turns have passed. */
+interface DriverPlan {
+  /** Turns before it requests the lock. */
+  readonly arrivesAfter: number;
+  /** Turns from the stop signal to the release of the lock. */
+  readonly releasesAfter: number;
 }
 
 interface Outcome {
-  readonly mostAtOnce: number;
+  readonly maxHolders: number;
   readonly order: readonly number[];
   readonly unstopped: readonly number[];
 }
 
-async function runPlays(plays: readonly Play[]): Promise<Outcome> {
+async function runDrivers(plans: readonly DriverPlan[]): Promise<Outcome> {
   const lock = new DriverLock();
   const order: number[] = [];
   const unstopped: number[] = [];
   let holders = 0;
-  let mostAtOnce = 0;
-  const runOne = async (play: Play, at: number): Promise<void> => {
-    await runTurns(play.comesAfter);
+  let maxHolders = 0;
+  const runOne = async (plan: DriverPlan, at: number): Promise<void> => {
+    await runTurns(plan.arrivesAfter);
     await lock.acquire();
     const {signal} = lock;
     holders++;
-    mostAtOnce = Math.max(mostAtOnce, holders);
+    maxHolders = Math.max(maxHolders, holders);
     order.push(at);
     for (let turn = 0; turn < 200 && !signal.aborted; turn++) await runTurns(1);
     if (!signal.aborted) unstopped.push(at);
-    await runTurns(play.endsIn);
+    await runTurns(plan.releasesAfter);
     holders--;
     lock.release();
   };
-  await Promise.all(plays.map(runOne));
+  await Promise.all(plans.map(runOne));
   assert.ok(lock.isFree);
-  return {mostAtOnce, order, unstopped};
+  return {maxHolders, order, unstopped};
 }
 
 describe('DriverLock', () => {
-  it('has one holder at a time, in the order of their coming', async () => {
-    const play = fc.record({
-      comesAfter: fc.nat({max: 20}),
-      endsIn: fc.nat({max: 5}),
+  it('has one holder at a time, in order of arrival', async () => {
+    const plan = fc.record({
+      arrivesAfter: fc.nat({max: 20}),
+      releasesAfter: fc.nat({max: 5}),
     });
-    const plays = fc.array(play, {minLength: 2, maxLength: 8});
+    const plans = fc.array(plan, {minLength: 2, maxLength: 8});
     await fc.assert(
-      fc.asyncProperty(plays, async (given) => {
-        const sorted = [...given].sort((a, b) => a.comesAfter - b.comesAfter);
-        const {mostAtOnce, order, unstopped} = await runPlays(sorted);
-        assert.equal(mostAtOnce, 1);
+      fc.asyncProperty(plans, async (drivers) => {
+        const sorted = [...drivers].sort(
+          (a, b) => a.arrivesAfter - b.arrivesAfter,
+        );
+        const {maxHolders, order, unstopped} = await runDrivers(sorted);
+        assert.equal(maxHolders, 1);
         assert.deepEqual(order, [...sorted.keys()]);
         assert.deepEqual(unstopped, [sorted.length - 1]);
       }),
@@ -68,7 +73,7 @@
     );
   });
 
-  it('is wanted while one waits, and free once nobody is left', async () => {
+  it('has a waiter while one waits, and is free after the last', async () => {
     const lock = new DriverLock();
     const states: string[] = [];
     const addState = (): void => {
--- a/packages/daemon/tests/streams.test.ts
+++ b/packages/daemon/tests/streams.test.ts
@@ -1,4 +1,7 @@
-/** One request that is sent again and again is one request. */
+/**
+ * Repeated connections of one request share its record and its driver. Guards
+ * against starting a request twice when its caller reconnects.
+ */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {SeededRandom, SystemClock, type KnownError} from '@irisdock/kernel';
@@ -17,14 +20,14 @@
 import {Streams, type StreamsParts} from '../src/services/streams.js';
 import {createAdmission} from './fixtures.js';
 
-/** A caller's end that notes what it is told. */
+/** A sink that records the calls made to it. */
 class FakeSink implements AnswerSink {
   readonly controller = new AbortController();
   readonly signal = this.controller.signal;
-  readonly told: string[] = [];
+  readonly calls: string[] = [];
 
   setResume(): void {
-    this.told.push('resume');
+    this.calls.push('resume');
   }
 
   write(): Promise<void> | undefined {
@@ -32,15 +35,15 @@
   }
 
   end(): void {
-    this.told.push('end');
+    this.calls.push('end');
   }
 
   fail(error: KnownError): void {
-    this.told.push(error.kind);
+    this.calls.push(error.kind);
   }
 }
 
-/** Creates streams without an endpoint; notes what was known at each send. */
+/** Creates streams without endpoints; records the ledger state per request. */
 function createStreams(ledgers: (string | undefined)[]): Streams {
   const clock = new SystemClock();
   const parts = {
@@ -64,7 +67,7 @@
   return new Streams(parts as unknown as StreamsParts);
 }
 
-function createAsk(): StreamRequest {
+function createRequest(): StreamRequest {
   const request = {
     id: 'r',
     service: 's',
@@ -91,7 +94,7 @@
   return [new FakeSink(), new FakeSink(), new FakeSink()];
 }
 
-/** Lets everything run that is due. */
+/** Waits until pending callbacks have run. */
 async function runDue(): Promise<void> {
   for (let turn = 0; turn < 10; turn++) {
     await new Promise((resolve) => setImmediate(resolve));
@@ -99,35 +102,35 @@
 }
 
 describe('Streams', () => {
-  it('knows a request that was taken up while it waited', async () => {
+  it('recognizes a request that a newer connection took over', async () => {
     const ledgers: (string | undefined)[] = [];
     const streams = createStreams(ledgers);
     const [first, second, third] = createSinks();
     const served: Promise<unknown>[] = [];
     for (const sink of [first, second, third]) {
-      served.push(streams.serve(createAsk(), sink));
+      served.push(streams.serve(createRequest(), sink));
       await runDue();
     }
-    // Were it unknown at the third, it would be started beside the second.
+    // If the third connection didn't find it, it would run in parallel.
     assert.deepEqual(ledgers, [undefined, 'running', 'running']);
-    assert.deepEqual(first.told, ['answer_taken_up']);
-    assert.deepEqual(second.told, ['answer_taken_up']);
-    assert.deepEqual(third.told, []);
+    assert.deepEqual(first.calls, ['answer_taken_up']);
+    assert.deepEqual(second.calls, ['answer_taken_up']);
+    assert.deepEqual(third.calls, []);
     assert.equal(streams.inFlight, 1);
     third.controller.abort();
     await Promise.all(served);
   });
 
-  it('keeps a request id for the body that it came with first', async () => {
+  it('rejects a request id that is reused with another body', async () => {
     const streams = createStreams([]);
     const sink = new FakeSink();
-    const first = streams.serve(createAsk(), sink);
+    const first = streams.serve(createRequest(), sink);
     await runDue();
-    const {request, ...ask} = createAsk();
-    // Another body, and a text that is not the one kept: taken for another's.
-    const other = {...ask, request: {...request, digest: 'other'}};
-    const given = {...other, fromOffset: 3, receivedText: 'abc'};
-    for (const sent of [other, given]) {
+    const {request, ...rest} = createRequest();
+    // Another body, without and with a received text that isn't the record's.
+    const other = {...rest, request: {...request, digest: 'other'}};
+    const withText = {...other, fromOffset: 3, receivedText: 'abc'};
+    for (const sent of [other, withText]) {
       const answer = await streams.serve(sent, new FakeSink());
       assert.equal(answer._unsafeUnwrapErr().error.kind, 'resume_mismatch');
     }
@@ -135,11 +138,11 @@
     await first;
   });
 
-  it('stops a driver whose caller reads no more', async () => {
-    const record = new RequestRecord(createAsk().request, 'n', 0, '');
+  it('stops a driver whose caller no longer reads', async () => {
+    const record = new RequestRecord(createRequest().request, 'n', 0, '');
     record.addToken('a token');
     const sink = new FakeSink();
-    // The connection is half open: what is written is never taken.
+    // The connection is half open: a write never completes.
     sink.write = () => new Promise(() => undefined);
     const parts = {
       clock: new SystemClock(),
@@ -160,12 +163,12 @@
     assert.equal(await outcome, 'stopped');
   });
 
-  it('forgets a request whose caller left before anything ran', async () => {
+  it('removes a request whose caller left before anything ran', async () => {
     const ledgers: (string | undefined)[] = [];
     const streams = createStreams(ledgers);
     for (let time = 0; time < 2; time++) {
       const sink = new FakeSink();
-      const served = streams.serve(createAsk(), sink);
+      const served = streams.serve(createRequest(), sink);
       await runDue();
       sink.controller.abort();
       await served;
--- a/scripts/check_proofs.mjs
+++ b/scripts/check_proofs.mjs
@@ -63,7 +63,7 @@
   [
     'silence is noticed',
     `${DAEMON}/answer/stall_detector.js`,
-    'this.plan(this.parts.getLimits().probeMs)',
+    'this.planCheck(this.parts.getLimits().probeMs)',
     'void 0',
     'testkit/streams',
     'frozen partway',
@@ -87,7 +87,7 @@
   [
     'a take-over has a higher generation',
     `${DAEMON}/answer/record_finder.js`,
-    'Math.max(before, kept?.takeover ?? 0) + 1',
+    'Math.max(before, own?.takeover ?? 0) + 1',
     '0',
     'testkit/hosts',
     'number had grown',
@@ -207,7 +207,7 @@
   [
     'one driver at a time',
     `${DAEMON}/answer/driver_lock.js`,
-    'await before;',
+    'await previousReleased;',
     '',
     'testkit/at_most_once',
     'many times at the same',
@@ -234,7 +234,7 @@
     'await waitUnlessAborted(written, this.stop)',
     'await written',
     'daemon/streams',
-    'reads no more',
+    'no longer reads',
   ],
   [
     'a refused connection says that a host is gone',
