--- a/packages/daemon/src/endpoint/endpoint_poller.ts
+++ b/packages/daemon/src/endpoint/endpoint_poller.ts
@@ -1,43 +1,43 @@
 /**
- * Looks at endpoints in turn: asks each for its load and, of engines, for
- * their cache events. One look at an endpoint never overlaps the next.
+ * Polls endpoints periodically for their load and engines for their cache
+ * events as well. Polls of one endpoint never overlap.
  */
 import type {Random} from '@irisdock/kernel';
 import type {BlockEvent} from '@irisdock/decisions';
 import type {LoadReport} from '@irisdock/endpoints';
 import type {EndpointRecord} from './endpoint_record.js';
 
-/** How often and how long to look. */
+/** The intervals and the timeout of polls. */
 export interface PollOptions {
-  /** The shortest time between two looks at an endpoint. */
+  /** The shortest time between two polls of an endpoint. */
   readonly pollMs: number;
-  /** Looks a second at all endpoints together. */
+  /** The maximum number of polls per second of all endpoints together. */
   readonly looksPerSecond: number;
   readonly pollTimeoutMs: number;
 }
 
-/** What a look can bring. */
+/** The effects of polls. */
 export interface PollEffects {
   applyEvents(record: EndpointRecord, events: readonly BlockEvent[]): void;
-  /** Cache events were missed, so what is remembered may be wrong. */
+  /** Drops the known prefixes: cache events were missed, so they are outdated. */
   dropPrefixes(record: EndpointRecord): void;
   reportLost(record: EndpointRecord): void;
-  /** A report came from the endpoint itself. */
+  /** Shares a report that this host received from the endpoint itself. */
   sendReport(record: EndpointRecord, report: LoadReport): void;
 }
 
-interface Turn {
+interface PollState {
   timer: NodeJS.Timeout;
-  looking: boolean;
-  looks: number;
+  isPolling: boolean;
+  pollCount: number;
 }
 
-// Cache events are late anyway, so they are asked for less often than load.
-const LOOKS_PER_CACHE_LOOK = 4;
+/** Cache events are delayed anyway, so they are polled less often than load. */
+const POLLS_PER_CACHE_POLL = 4;
 
-/** Looks at endpoints. */
+/** Polls endpoints. */
 export class EndpointPoller {
-  private readonly turns = new Map<EndpointRecord, Turn>();
+  private readonly states = new Map<EndpointRecord, PollState>();
 
   constructor(
     private readonly options: PollOptions,
@@ -45,46 +45,49 @@
     private readonly effects: PollEffects,
   ) {}
 
-  /** Looks at an endpoint from now on. */
+  /** Starts polling an endpoint. */
   add(record: EndpointRecord): void {
     const timer = setTimeout(() => undefined, 0);
-    this.turns.set(record, {timer, looking: false, looks: 0});
+    this.states.set(record, {timer, isPolling: false, pollCount: 0});
     this.poll(record);
   }
 
-  /** Looks no more. */
+  /** Stops polling an endpoint. */
   remove(record: EndpointRecord): void {
-    clearTimeout(this.turns.get(record)?.timer);
-    this.turns.delete(record);
+    clearTimeout(this.states.get(record)?.timer);
+    this.states.delete(record);
   }
 
-  /** Looks now, out of turn, unless a look is under way. */
+  /** Polls immediately, ahead of schedule, unless a poll is in progress. */
   poll(record: EndpointRecord): void {
-    const turn = this.turns.get(record);
-    if (turn === undefined || turn.looking) return;
-    clearTimeout(turn.timer);
-    turn.looking = true;
-    void this.pollLoad(record, turn).finally(() => {
-      turn.looking = false;
+    const state = this.states.get(record);
+    if (state === undefined || state.isPolling) return;
+    clearTimeout(state.timer);
+    state.isPolling = true;
+    void this.pollLoad(record, state).finally(() => {
+      state.isPolling = false;
       this.planNext(record);
     });
   }
 
   private planNext(record: EndpointRecord): void {
-    const turn = this.turns.get(record);
-    if (turn === undefined) return;
+    const state = this.states.get(record);
+    if (state === undefined) return;
     const {pollMs, looksPerSecond} = this.options;
-    const shared = (this.turns.size * 1000) / looksPerSecond;
-    const spread = 0.75 + this.random.getInt(500) / 1000;
-    turn.timer = setTimeout(
+    const sharedMs = (this.states.size * 1000) / looksPerSecond;
+    const jitter = 0.75 + this.random.getInt(500) / 1000;
+    state.timer = setTimeout(
       () => {
         this.poll(record);
       },
-      Math.max(pollMs, shared) * spread,
+      Math.max(pollMs, sharedMs) * jitter,
     );
   }
 
-  private async pollLoad(record: EndpointRecord, turn: Turn): Promise<void> {
+  private async pollLoad(
+    record: EndpointRecord,
+    state: PollState,
+  ): Promise<void> {
     const {engine, plain} = record.clients;
     const client = engine ?? plain;
     if (client === undefined) return;
@@ -95,8 +98,8 @@
     }
     record.applyReport(load.value);
     this.effects.sendReport(record, load.value);
-    turn.looks++;
-    if (engine !== undefined && turn.looks % LOOKS_PER_CACHE_LOOK === 1) {
+    state.pollCount++;
+    if (engine !== undefined && state.pollCount % POLLS_PER_CACHE_POLL === 1) {
       await this.pollCache(record);
     }
   }
@@ -110,7 +113,7 @@
     );
     if (page === undefined || page.isErr()) return;
     const {events, next, gap} = page.value;
-    // A lower sequence is that of an engine that started anew.
+    // A lower sequence number means that the engine has restarted.
     if (gap || next < after) this.effects.dropPrefixes(record);
     record.cacheSequence = next;
     this.effects.applyEvents(record, events);
--- a/packages/daemon/src/endpoint/endpoint_record.ts
+++ b/packages/daemon/src/endpoint/endpoint_record.ts
@@ -1,6 +1,6 @@
 /**
- * One endpoint as this host sees it: what it reported, what was sent to it
- * since, how its streams fared, and the client to speak to it with.
+ * One endpoint as this host sees it: its last load report, the requests sent to
+ * it since, the outcomes of its requests, and its client.
  */
 import type {Clock} from '@irisdock/kernel';
 import type {ServiceGaps} from './service_gaps.js';
@@ -12,38 +12,41 @@
   PlainEndpoint,
 } from '@irisdock/endpoints';
 
-/** The clients of an endpoint; one of the two is there. */
+/** The clients of an endpoint; exactly one of them is set. */
 export interface EndpointClients {
   readonly engine?: Engine;
   readonly plain?: PlainEndpoint;
 }
 
-/** How a request to an endpoint ended, for its health. */
+/** How a request to an endpoint ended, as it affects the endpoint's health. */
 export type EndpointOutcome = 'done' | 'lost' | 'neutral' | 'stalled';
 
-interface SentMark {
+/** A change of the number of requests in flight there. */
+interface LoadChange {
   readonly at: number;
   readonly delta: 1 | -1;
 }
 
+// Weights of one request's outcome in the moving average of the loss rate.
 const LOSS_WEIGHT = 0.1;
 const STALL_WEIGHT = 0.5;
-const MAX_MISSES = 2;
-/** How long an endpoint counts as quiet, unless it makes a token. */
+/** Missed polls from which on an endpoint counts as not answering. */
+const MAX_MISSED_POLLS = 2;
+/** How long an endpoint counts as quiet unless it generates a token. */
 const QUIET_MS = 3000;
 
 /** An endpoint of a service. */
 export class EndpointRecord {
   readonly gaps = new GapStatistics();
-  /** The sequence of the last cache event that was read. */
+  /** The sequence number of the last cache event read. */
   cacheSequence = 0;
   isLeaving = false;
   private report: LoadReport | undefined;
   private reportTakenAt = -Infinity;
-  private marks: SentMark[] = [];
+  private loadChanges: LoadChange[] = [];
   private inFlight = 0;
   private lossRate = 0;
-  private misses = MAX_MISSES;
+  private missedPolls = MAX_MISSED_POLLS;
   private quietUntil = -Infinity;
 
   constructor(
@@ -53,94 +56,97 @@
     readonly clients: EndpointClients,
     readonly serviceGaps: ServiceGaps,
     private readonly clock: Clock,
-    private readonly onRoom: (service: string) => void,
+    private readonly handleCapacity: (service: string) => void,
   ) {}
 
-  /** Whether the last looks at it were answered. */
+  /** Whether it answered the last polls. */
   get isAnswering(): boolean {
-    return this.misses < MAX_MISSES;
+    return this.missedPolls < MAX_MISSED_POLLS;
   }
 
-  /** Whether a stream there is silent though it answers, by what was told. */
+  /** Whether a stream was recently reported to make no progress there. */
   get isQuiet(): boolean {
     return this.clock.getNow() < this.quietUntil;
   }
 
-  /** Whether nothing of this host runs there. */
+  /** Whether this host has no requests in flight there. */
   get isIdle(): boolean {
     return this.inFlight === 0;
   }
 
-  /** Models and adapters it has by its last report. */
+  /** The models and adapters it had loaded by its last report. */
   get loaded(): {models: readonly string[]; adapters: readonly string[]} {
     return this.report ?? {models: [], adapters: []};
   }
 
-  /** Notes that a request is sent to it. */
+  /** Records that a request is sent to it. */
   startRequest(): void {
     this.inFlight++;
-    this.marks.push({at: this.clock.getNow(), delta: 1});
+    this.loadChanges.push({at: this.clock.getNow(), delta: 1});
   }
 
-  /** Notes how a request ended. */
+  /** Records how a request ended. */
   endRequest(outcome: EndpointOutcome): void {
     this.inFlight--;
-    this.marks.push({at: this.clock.getNow(), delta: -1});
+    this.loadChanges.push({at: this.clock.getNow(), delta: -1});
     if (outcome !== 'neutral') {
-      // One that answers but makes no tokens shows it in nothing else.
+      // An engine that answers polls but generates no tokens is recognized by
+      // its stalled streams only, so they weigh more.
       const weight = outcome === 'stalled' ? STALL_WEIGHT : LOSS_WEIGHT;
       const lost = outcome === 'done' ? 0 : 1;
       this.lossRate += weight * (lost - this.lossRate);
     }
-    this.onRoom(this.service);
+    this.handleCapacity(this.service);
   }
 
-  /** Takes a load report, unless a newer one is known. */
+  /** Applies a load report unless a newer one is known. */
   applyReport(report: LoadReport): void {
     const takenAt = this.clock.getNow() - report.ageMs;
     if (takenAt < this.reportTakenAt) return;
     this.reportTakenAt = takenAt;
     this.report = report;
-    this.misses = 0;
-    this.marks = this.marks.filter((mark) => mark.at > takenAt);
-    this.onRoom(this.service);
+    this.missedPolls = 0;
+    this.loadChanges = this.loadChanges.filter((change) => change.at > takenAt);
+    this.handleCapacity(this.service);
   }
 
-  /** Notes that a look at it failed; tells whether it counts as lost now. */
+  /** Records a failed poll; returns whether the endpoint now becomes lost. */
   applyMiss(error: EndpointError): boolean {
     const wasAnswering = this.isAnswering;
     const refused = error.kind === 'endpoint_unreachable';
-    this.misses = refused ? MAX_MISSES : Math.min(MAX_MISSES, this.misses + 1);
+    this.missedPolls = refused
+      ? MAX_MISSED_POLLS
+      : Math.min(MAX_MISSED_POLLS, this.missedPolls + 1);
     return wasAnswering && !this.isAnswering;
   }
 
-  /** Notes that another host saw it lost: one missed look is then enough. */
+  /** Records that another host lost it; one missed poll is then enough. */
   markSuspect(): void {
-    this.misses = Math.max(this.misses, MAX_MISSES - 1);
+    this.missedPolls = Math.max(this.missedPolls, MAX_MISSED_POLLS - 1);
   }
 
-  /** Notes that it certainly does not answer now; tells whether that is new. */
+  /** Records that it does not answer; returns whether that is new. */
   markLost(): boolean {
     const wasAnswering = this.isAnswering;
-    this.misses = MAX_MISSES;
+    this.missedPolls = MAX_MISSED_POLLS;
     return wasAnswering;
   }
 
-  /** Notes that a stream there is silent, though it answers. */
+  /** Records that a stream makes no progress though the endpoint answers. */
   markQuiet(): void {
     this.quietUntil = this.clock.getNow() + QUIET_MS;
   }
 
-  /** Notes that a stream there got a token. */
+  /** Records that a stream from the endpoint received an event. */
   markProgress(): void {
     this.quietUntil = -Infinity;
   }
 
-  /** Gives what the choice of an endpoint looks at. */
+  /** Returns the view of it on which the choice of an endpoint is based. */
   getView(): EndpointView {
     const {report} = this;
     let sentSinceReport = 0;
-    for (const mark of this.marks) sentSinceReport += mark.delta;
+    for (const change of this.loadChanges) sentSinceReport += change.delta;
     return {
       address: this.address,
       failureDomain: this.failureDomain,
--- a/packages/daemon/src/endpoint/load_sharer.ts
+++ b/packages/daemon/src/endpoint/load_sharer.ts
@@ -1,50 +1,50 @@
 /**
- * Shares load reports between the hosts that watch each other, so that each
- * host asks an endpoint itself only now and then. Reports are gathered for a
- * while and sent in one message.
+ * Shares load reports between hosts that monitor each other, so that each host
+ * has to poll an endpoint itself less often. Reports are sent in batches.
  */
 import type {Clock} from '@irisdock/kernel';
 import type {LoadReport} from '@irisdock/endpoints';
 import type {LoadHint} from '@irisdock/peer';
 
-interface Gathered {
+/** A report that has not been sent yet. */
+interface PendingReport {
   readonly report: LoadReport;
   readonly at: number;
 }
 
-/** Gathers reports and hands them on. */
+/** Collects reports and sends them in batches. */
 export class LoadSharer {
-  private readonly gathered = new Map<string, Gathered>();
+  private readonly pending = new Map<string, PendingReport>();
   private timer: NodeJS.Timeout | undefined;
 
   constructor(
-    private readonly gatherMs: number,
+    private readonly batchMs: number,
     private readonly clock: Clock,
     private readonly send: (loads: readonly LoadHint[]) => void,
   ) {}
 
-  /** Adds a report that this host got itself. */
+  /** Adds a report that this host received from the endpoint itself. */
   add(endpoint: string, report: LoadReport): void {
-    this.gathered.set(endpoint, {report, at: this.clock.getNow()});
+    this.pending.set(endpoint, {report, at: this.clock.getNow()});
     this.timer ??= setTimeout(() => {
-      this.sendGathered();
-    }, this.gatherMs);
+      this.sendPending();
+    }, this.batchMs);
   }
 
-  /** Sends nothing more. */
+  /** Stops sending. */
   stop(): void {
     clearTimeout(this.timer);
   }
 
-  private sendGathered(): void {
+  private sendPending(): void {
     this.timer = undefined;
     const now = this.clock.getNow();
-    const loads = [...this.gathered].map(([endpoint, {report, at}]) => ({
+    const loads = [...this.pending].map(([endpoint, {report, at}]) => ({
       endpoint,
       ...report,
       ageMs: report.ageMs + now - at,
     }));
-    this.gathered.clear();
+    this.pending.clear();
     this.send(loads);
   }
 }
--- a/packages/daemon/src/endpoint/service_gaps.ts
+++ b/packages/daemon/src/endpoint/service_gaps.ts
@@ -1,7 +1,7 @@
 /**
- * What a host knows of the pace of a service's engines together. It stands in
- * for an engine that this host knows too little of, and says how long a first
- * token may take.
+ * Statistics of token gaps and first-token latency over all engines of a
+ * service. They stand in for the statistics of an engine with too few samples
+ * and yield the time limit for a first token.
  */
 import {
   computeFirstTokenLimit,
@@ -10,64 +10,71 @@
   type StallLimits,
 } from '@irisdock/decisions';
 
+/** Gaps of an engine from which on its own statistics are used. */
 const MIN_GAPS = 32;
+/** First tokens of a service from which on its statistics are used. */
 const MIN_FIRST_TOKENS = 8;
-/** The same for an answer that is resumed: its caller waits. */
-const MIN_FIRST_TOKENS_RESUMING = 1;
-/** The wait of a resumed answer while nothing is known, in least waits. */
-const UNKNOWN_LEASTS = 2;
-const CHARS_PER_SIZE = 4000;
+/** The same for a resumed answer, whose caller is already waiting. */
+const MIN_FIRST_TOKENS_RESUMED = 1;
+/** Time limit of a resumed answer without samples, as a multiple of `minMs`. */
+const UNKNOWN_LIMIT_FACTOR = 2;
+/** Prompt length that adds the latency of an empty prompt once more. */
+const CHARS_PER_PROMPT_UNIT = 4000;
 
 /** A wait for the first token of a stream. */
 export interface FirstTokenWait {
-  /** Characters that the engine reads before it. */
+  /** Characters that the engine processes before the first token. */
   readonly promptChars: number;
-  /** Whether the answer began before. */
+  /** Whether a started answer is resumed. */
   readonly isResuming: boolean;
-  /** Bounds on the limit, in milliseconds. */
+  /** Bounds of the time limit, in milliseconds. */
   readonly minMs: number;
   readonly maxMs: number;
 }
 
-/** The pace of one service's engines. */
+/** Token latency statistics of one service's engines. */
 export class ServiceGaps {
   private readonly gaps = new GapStatistics();
   private readonly firstTokens = new GapStatistics();
 
-  /** Takes a gap between tokens of any of the engines. */
+  /** Records a gap between two tokens of any of the engines. */
   recordGap(gapMs: number): void {
     this.gaps.record(gapMs);
   }
 
-  /** Takes the wait for a first token; long prompts may take longer. */
+  /** Records a first token's latency, normalized by the prompt's length. */
   recordFirstToken(waitMs: number, promptChars: number): void {
-    this.firstTokens.record(waitMs / getSize(promptChars));
+    this.firstTokens.record(waitMs / getPromptFactor(promptChars));
   }
 
-  /** Gives an engine's limits, or those of all while it is little known. */
+  /** Returns an engine's limits, or the service's if it has too few gaps. */
   getLimits(own: GapStatistics, bounds: StallBounds): StallLimits {
-    const known = own.count >= MIN_GAPS ? own : this.gaps;
-    return known.getLimits(bounds);
+    const gaps = own.count >= MIN_GAPS ? own : this.gaps;
+    return gaps.getLimits(bounds);
   }
 
   /**
-   * Gives the longest wait for a first token, in milliseconds. A resumed
-   * answer is given less while little is known: its caller sees a stream that
-   * stands still, and what it had is not lost by going on elsewhere.
+   * Returns the time limit for a first token, in milliseconds. Without enough
+   * samples it is shorter for a resumed answer: its caller is watching a stalled
+   * stream, and continuing on another engine loses none of the answer.
    */
   getFirstTokenLimit(wait: FirstTokenWait): number {
-    const {promptChars, isResuming, minMs: leastMs, maxMs: mostMs} = wait;
-    const least = isResuming ? MIN_FIRST_TOKENS_RESUMING : MIN_FIRST_TOKENS;
-    const isKnown = this.firstTokens.count >= least;
-    const usual = isKnown ? this.firstTokens.getUpperBoundMs() : undefined;
-    const unknownMs = isResuming ? leastMs * UNKNOWN_LEASTS : mostMs;
-    const longestMs = usual === undefined ? unknownMs : mostMs;
-    const sized =
-      usual === undefined ? undefined : usual * getSize(promptChars);
-    return computeFirstTokenLimit(sized, leastMs, Math.min(mostMs, longestMs));
+    const {promptChars, isResuming, minMs, maxMs} = wait;
+    const minSamples = isResuming ? MIN_FIRST_TOKENS_RESUMED : MIN_FIRST_TOKENS;
+    const isKnown = this.firstTokens.count >= minSamples;
+    const upperBoundMs = isKnown
+      ? this.firstTokens.getUpperBoundMs()
+      : undefined;
+    const unknownMs = isResuming ? minMs * UNKNOWN_LIMIT_FACTOR : maxMs;
+    const limitMs = upperBoundMs === undefined ? unknownMs : maxMs;
+    const expectedMs =
+      upperBoundMs === undefined
+        ? undefined
+        : upperBoundMs * getPromptFactor(promptChars);
+    return computeFirstTokenLimit(expectedMs, minMs, Math.min(maxMs, limitMs));
   }
 }
 
-function getSize(promptChars: number): number {
-  return 1 + promptChars / CHARS_PER_SIZE;
+function getPromptFactor(promptChars: number): number {
+  return 1 + promptChars / CHARS_PER_PROMPT_UNIT;
 }
--- a/packages/daemon/tests/service_gaps.test.ts
+++ b/packages/daemon/tests/service_gaps.test.ts
@@ -1,64 +1,64 @@
-/** How long a first token is waited for, by what is known. */
+/** The time limit for a first token depends on the samples recorded so far. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {ServiceGaps} from '../src/endpoint/service_gaps.js';
 
-const LEAST_MS = 2000;
-const MOST_MS = 20_000;
+const MIN_MS = 2000;
+const MAX_MS = 20_000;
 
-/** Gives the limit after so many first tokens of the same wait. */
+/** Returns the limit after a number of first tokens with the same latency. */
 function getLimit(
-  known: number,
-  waitMs: number,
+  samples: number,
+  latencyMs: number,
   isResuming: boolean,
   promptChars = 0,
 ): number {
   const gaps = new ServiceGaps();
-  for (let at = 0; at < known; at++) gaps.recordFirstToken(waitMs, 0);
-  const bounds = {minMs: LEAST_MS, maxMs: MOST_MS};
+  for (let i = 0; i < samples; i++) gaps.recordFirstToken(latencyMs, 0);
+  const bounds = {minMs: MIN_MS, maxMs: MAX_MS};
   return gaps.getFirstTokenLimit({promptChars, isResuming, ...bounds});
 }
 
-describe('the wait for a first token', () => {
+describe('the time limit for a first token', () => {
   const cases: readonly {
     name: string;
     limit: number;
-    isWanted: (limit: number) => boolean;
+    isExpected: (limit: number) => boolean;
   }[] = [
     {
-      name: 'is the longest for a new answer while little is known',
+      name: 'is the maximum for a new answer with too few samples',
       limit: getLimit(7, 30, false),
-      isWanted: (limit) => limit === MOST_MS,
+      isExpected: (limit) => limit === MAX_MS,
     },
     {
-      name: 'is short for a resumed answer by one that is known',
+      name: 'is short for a resumed answer after one sample',
       limit: getLimit(1, 30, true),
-      isWanted: (limit) => limit === LEAST_MS,
+      isExpected: (limit) => limit === MIN_MS,
     },
     {
-      name: 'is a few seconds for a resumed answer when nothing is known',
+      name: 'is twice the minimum for a resumed answer without samples',
       limit: getLimit(0, 0, true),
-      isWanted: (limit) => limit === 2 * LEAST_MS,
+      isExpected: (limit) => limit === 2 * MIN_MS,
     },
     {
-      name: 'follows the pace of slow engines for a resumed answer too',
+      name: 'follows the latency of slow engines for a resumed answer too',
       limit: getLimit(1, 1500, true),
-      isWanted: (limit) => limit > 1500 * 3 && limit <= MOST_MS,
+      isExpected: (limit) => limit > 1500 * 3 && limit <= MAX_MS,
     },
     {
-      name: 'grows with the prompt',
+      name: 'grows with the prompt length',
       limit: getLimit(8, 600, true, 40_000),
-      isWanted: (limit) => limit > getLimit(8, 600, true),
+      isExpected: (limit) => limit > getLimit(8, 600, true),
     },
     {
-      name: 'is never above the longest',
+      name: 'never exceeds the maximum',
       limit: getLimit(8, 60_000, false),
-      isWanted: (limit) => limit === MOST_MS,
+      isExpected: (limit) => limit === MAX_MS,
     },
   ];
-  for (const {name, limit, isWanted} of cases) {
+  for (const {name, limit, isExpected} of cases) {
     it(name, () => {
-      assert.ok(isWanted(limit), `${limit} ms`);
+      assert.ok(isExpected(limit), `${limit} ms`);
     });
   }
 });
