--- a/packages/daemon/src/caller/completion_route.ts
+++ b/packages/daemon/src/caller/completion_route.ts
@@ -1,4 +1,4 @@
-/** `POST /v1/completions`: text in the OpenAI shape, streamed or whole. */
+/** `POST /v1/completions`: OpenAI completions, streamed or in one body. */
 import {err, ok, type Result} from 'neverthrow';
 import type {Clock, KnownError} from '@irisdock/kernel';
 import {hashToHex, parseResumeData, type Signer} from '@irisdock/decisions';
@@ -23,7 +23,7 @@
 
 const DEFAULT_MAX_TOKENS = 16;
 
-/** The body; fields of the OpenAI shape that change nothing are let pass. */
+/** The body; other fields of the OpenAI format are accepted and ignored. */
 export const COMPLETION_SCHEMA = z.looseObject({
   model: z.string().min(1),
   prompt: z.string(),
@@ -37,14 +37,14 @@
 });
 type CompletionBody = z.infer<typeof COMPLETION_SCHEMA>;
 
-/** What the route works with. */
+/** The dependencies of the route. */
 export interface CompletionParts {
   readonly clock: Clock;
   readonly signer: Signer;
   readonly configuration: Configuration;
   readonly ownership: Ownership;
   readonly streams: Streams;
-  /** Gives the reason why no new work is taken, if there is one. */
+  /** Returns why new requests are refused, if they are. */
   findRefusal(): KnownError | undefined;
   createOwnId(): string;
 }
@@ -53,7 +53,7 @@
 export class CompletionRoute {
   constructor(private readonly parts: CompletionParts) {}
 
-  /** Answers one request. */
+  /** Handles one request. */
   async handle(request: WebRequest): Promise<void> {
     const {response} = request;
     const parts = await readRequestParts(request, () =>
@@ -64,42 +64,42 @@
       return;
     }
     const {headers, body} = parts.value;
-    const ask = this.createAsk(headers, body);
-    if (ask.isErr()) {
-      sendError(response, ask.error);
+    const streamRequest = this.createStreamRequest(headers, body);
+    if (streamRequest.isErr()) {
+      sendError(response, streamRequest.error);
       return;
     }
-    const sink = this.createSink(request, body, ask.value);
-    const served = await this.parts.streams.serve(ask.value, sink);
+    const sink = this.createSink(request, body, streamRequest.value);
+    const served = await this.parts.streams.serve(streamRequest.value, sink);
     if (served.isOk()) return;
-    const {id} = ask.value.request;
+    const {id} = streamRequest.value.request;
     sendOwnerRefusal(request, served.error, {[REQUEST_ID_HEADER]: id});
   }
 
   private createSink(
     request: WebRequest,
     body: CompletionBody,
-    ask: StreamRequest,
+    streamRequest: StreamRequest,
   ): AnswerSink {
     const created = Math.floor(this.parts.clock.getWallNow() / 1000);
-    const {id} = ask.request;
+    const {id} = streamRequest.request;
     const head: CompletionHead = {id, model: body.model, created};
     return body.stream
       ? new EventSink(request.response, head)
       : new BodySink(request.response, head);
   }
 
-  private createAsk(
+  private createStreamRequest(
     headers: RequestHeaders,
     body: CompletionBody,
   ): Result<StreamRequest, KnownError> {
-    const bar = this.parts.findRefusal();
-    if (bar !== undefined) return err(bar);
+    const refusal = this.parts.findRefusal();
+    if (refusal !== undefined) return err(refusal);
     const spec = this.checkModel(body);
     if (spec.isErr()) return err(spec.error);
     const {configuration, ownership, signer} = this.parts;
-    const terms = findTeamPolicy(configuration, headers.team, body.model);
-    if (terms.isErr()) return err(terms.error);
+    const policy = findTeamPolicy(configuration, headers.team, body.model);
+    if (policy.isErr()) return err(policy.error);
     const {resumeText, fromOffset} = headers;
     const resume =
       resumeText === undefined
@@ -109,7 +109,7 @@
     const id = headers.requestId ?? this.parts.createOwnId();
     return ok({
       id: ownership.readId(id),
-      request: createRequest(id, headers, body, spec.value, terms.value),
+      request: createRequest(id, headers, body, spec.value, policy.value),
       fromOffset,
       resuming: headers.isResuming,
       resumeData: resume.value,
@@ -139,7 +139,7 @@
   headers: RequestHeaders,
   body: CompletionBody,
   spec: GenerationSpec,
-  terms: TeamPolicy,
+  policy: TeamPolicy,
 ): GenerationRequest {
   const {model, prompt, max_tokens: maxTokens} = body;
   const adapter = body.irisdock_adapter;
@@ -149,10 +149,10 @@
     service: model,
     spec,
     adapter,
-    team: terms.team,
-    weight: terms.weight,
-    maxInFlight: terms.maxInFlight,
-    priority: terms.priority,
+    team: policy.team,
+    weight: policy.weight,
+    maxInFlight: policy.maxInFlight,
+    priority: policy.priority,
     prompt,
     maxTokens,
     repeatable: headers.repeatable ?? spec.repeatable,
--- a/packages/daemon/src/caller/headers.ts
+++ b/packages/daemon/src/caller/headers.ts
@@ -1,14 +1,14 @@
-/** The headers that callers and the system exchange. */
+/** The names of the headers exchanged with callers. */
 
-/** The request's id; given back with every answer. */
+/** The request's id; returned with every answer. */
 export const REQUEST_ID_HEADER = 'x-request-id';
-/** Resume data, to be sent back when going on elsewhere. */
+/** Resume data, to be sent back when the answer is resumed. */
 export const RESUME_HEADER = 'x-irisdock-resume';
-/** The team that the request is for. */
+/** The team on whose behalf the request is sent. */
 export const TEAM_HEADER = 'x-irisdock-team';
-/** `true` or `false`; whether the request may run more than once. */
+/** Whether the request may run more than once: `true` or `false`. */
 export const REPEATABLE_HEADER = 'x-irisdock-repeatable';
-/** Milliseconds that the caller waits for the request to start. */
+/** How long the caller waits for the request to start, in milliseconds. */
 export const DEADLINE_HEADER = 'x-irisdock-deadline-ms';
-/** The offset of the last token that arrived. */
+/** The offset of the last token that the caller received. */
 export const LAST_EVENT_ID_HEADER = 'last-event-id';
--- a/packages/daemon/src/caller/owner_refusal.ts
+++ b/packages/daemon/src/caller/owner_refusal.ts
@@ -1,8 +1,8 @@
-/** Answers a request that this host may not run. */
+/** The response to a request that this host is not allowed to run. */
 import {sendError, type WebRequest} from '@irisdock/web';
 import type {OwnerRefusal} from '../services/ownership.js';
 
-/** Sends the refusal; a caller is sent on to the owner with `Location`. */
+/** Sends the refusal, with the owner's address in `Location` if it is known. */
 export function sendOwnerRefusal(
   request: WebRequest,
   refusal: OwnerRefusal,
--- a/packages/daemon/src/caller/plain_route.ts
+++ b/packages/daemon/src/caller/plain_route.ts
@@ -1,4 +1,4 @@
-/** `/s/<service>/...`: calls to plain services, passed on. */
+/** `/s/<service>/...`: forwards calls to plain services. */
 import {pipeline} from 'node:stream/promises';
 import {err, ok, type Result} from 'neverthrow';
 import type {KnownError} from '@irisdock/kernel';
@@ -15,8 +15,8 @@
 import type {RequestHeaders} from './request_headers.js';
 import {findTeamPolicy} from './team_policy.js';
 
-// Headers that concern one connection only, and those set anew.
-const NOT_PASSED = new Set([
+/** Hop-by-hop headers, and headers that are set again when forwarding. */
+const NOT_FORWARDED = new Set([
   'connection',
   'content-length',
   'expect',
@@ -30,12 +30,12 @@
   'upgrade',
 ]);
 
-/** What the route works with. */
+/** The dependencies of the route. */
 export interface PlainParts {
   readonly configuration: Configuration;
   readonly ownership: Ownership;
   readonly calls: PlainCalls;
-  /** Gives the reason why no new work is taken, if there is one. */
+  /** Returns why new requests are refused, if they are. */
   findRefusal(): KnownError | undefined;
   createOwnId(): string;
 }
@@ -44,42 +44,42 @@
 export class PlainRoute {
   constructor(private readonly parts: PlainParts) {}
 
-  /** Answers one call. */
+  /** Handles one call. */
   async handle(request: WebRequest): Promise<void> {
     const {response} = request;
     const parts = await readRequestParts(request, () => request.readBody());
-    const ask = parts.andThen(({headers, body}) =>
-      this.createAsk(request, headers, body),
+    const call = parts.andThen(({headers, body}) =>
+      this.createCall(request, headers, body),
     );
-    if (ask.isErr()) {
-      sendError(response, ask.error);
+    if (call.isErr()) {
+      sendError(response, call.error);
       return;
     }
-    const answer = await this.parts.calls.serve(ask.value);
-    const {id} = ask.value.id;
+    const answer = await this.parts.calls.serve(call.value);
+    const {id} = call.value.id;
     if (answer.isErr()) {
       sendOwnerRefusal(request, answer.error, {[REQUEST_ID_HEADER]: id});
       return;
     }
-    await passAnswer(request, answer.value, id);
+    await sendResponse(request, answer.value, id);
   }
 
-  private createAsk(
+  private createCall(
     request: WebRequest,
     headers: RequestHeaders,
     body: Buffer,
   ): Result<PlainAsk, KnownError> {
-    const bar = this.parts.findRefusal();
-    if (bar !== undefined) return err(bar);
+    const refusal = this.parts.findRefusal();
+    if (refusal !== undefined) return err(refusal);
     const {configuration, ownership} = this.parts;
     const service = request.getParameter('service');
     const spec = configuration.findSpec('service', service);
     if (spec?.type !== 'plain') {
       return err(DAEMON_ERRORS.create('unknown_service', {service}));
     }
-    const terms = findTeamPolicy(configuration, headers.team, service);
-    if (terms.isErr()) return err(terms.error);
-    const {team, weight, maxInFlight} = terms.value;
+    const policy = findTeamPolicy(configuration, headers.team, service);
+    if (policy.isErr()) return err(policy.error);
+    const {team, weight, maxInFlight} = policy.value;
     const id = headers.requestId ?? this.parts.createOwnId();
     return ok({
       id: ownership.readId(id),
@@ -93,7 +93,7 @@
       call: {
         method: request.message.method ?? 'GET',
         path: `/${request.getParameter('rest')}${request.url.search}`,
-        headers: {...listPassed(request), [REQUEST_ID_HEADER]: id},
+        headers: {...listForwardedHeaders(request), [REQUEST_ID_HEADER]: id},
         body,
       },
       signal: createCallerSignal(request.response),
@@ -101,24 +101,24 @@
   }
 }
 
-function listPassed(request: WebRequest): Record<string, string> {
-  const passed: Record<string, string> = {};
+function listForwardedHeaders(request: WebRequest): Record<string, string> {
+  const forwarded: Record<string, string> = {};
   for (const [name, value] of Object.entries(request.message.headers)) {
-    if (value === undefined || NOT_PASSED.has(name)) continue;
+    if (value === undefined || NOT_FORWARDED.has(name)) continue;
     if (name === TEAM_HEADER) continue;
-    passed[name] = Array.isArray(value) ? value.join(', ') : value;
+    forwarded[name] = Array.isArray(value) ? value.join(', ') : value;
   }
-  return passed;
+  return forwarded;
 }
 
-async function passAnswer(
+async function sendResponse(
   request: WebRequest,
   answer: PlainAnswer,
   id: string,
 ): Promise<void> {
   const {response} = request;
   for (const [name, value] of Object.entries(answer.headers)) {
-    if (value === undefined || NOT_PASSED.has(name)) continue;
+    if (value === undefined || NOT_FORWARDED.has(name)) continue;
     response.setHeader(name, value);
   }
   response.setHeader(REQUEST_ID_HEADER, id);
@@ -126,7 +126,8 @@
   try {
     await pipeline(answer.body, response);
   } catch {
-    // The caller sees the cut connection; there is no other way to tell it.
+    // The status is already sent, so closing the connection is the only way to
+    // report the failure.
     response.destroy();
   }
 }
--- a/packages/daemon/src/caller/request_headers.ts
+++ b/packages/daemon/src/caller/request_headers.ts
@@ -1,4 +1,4 @@
-/** The headers of a caller's request, checked. */
+/** Parses and validates the headers of a caller's request. */
 import type {KnownError} from '@irisdock/kernel';
 import {REQUEST_ID_PATTERN} from '@irisdock/decisions';
 import type {WebRequest} from '@irisdock/web';
@@ -36,19 +36,19 @@
     .optional(),
 });
 
-/** What the headers say. */
+/** The parsed headers. */
 export interface RequestHeaders {
   readonly requestId: string | undefined;
   readonly resumeText: string | undefined;
   readonly team: string | undefined;
   readonly repeatable: boolean | undefined;
   readonly deadlineMs: number | undefined;
-  /** The first offset that is still wanted. */
+  /** The offset of the first token that the caller still needs. */
   readonly fromOffset: number;
   readonly isResuming: boolean;
 }
 
-/** Reads and checks the headers. */
+/** Reads and validates the headers. */
 export function readRequestHeaders(
   request: WebRequest,
 ): Result<RequestHeaders, KnownError> {
--- a/packages/daemon/src/caller/request_reader.ts
+++ b/packages/daemon/src/caller/request_reader.ts
@@ -1,18 +1,18 @@
-/** What the callers' routes begin with: headers and body, both or an error. */
+/** Reads the headers and body of requests to the callers' routes. */
 import {err, ok, type Result} from 'neverthrow';
 import type {KnownError} from '@irisdock/kernel';
 import type {WebRequest} from '@irisdock/web';
 import {readRequestHeaders, type RequestHeaders} from './request_headers.js';
 
-/** A request's parts, read and checked. */
+/** The headers and body of a request, parsed and validated. */
 export interface RequestParts<B> {
   readonly headers: RequestHeaders;
   readonly body: B;
 }
 
 /**
- * Reads headers and body. The body is read whatever the headers are, so that
- * its bytes are not taken for the next request.
+ * Reads headers and body. The body is read even if the headers are invalid, so
+ * that its bytes are not parsed as the connection's next request.
  */
 export async function readRequestParts<B>(
   request: WebRequest,
--- a/packages/daemon/src/caller/team_policy.ts
+++ b/packages/daemon/src/caller/team_policy.ts
@@ -1,19 +1,19 @@
-/** What a team may do on a service. */
+/** A team's access, weight and limits on a service. */
 import type {KnownError} from '@irisdock/kernel';
 import {err, ok, type Result} from 'neverthrow';
 import {DAEMON_ERRORS} from '../errors.js';
 import type {Configuration} from '../services/configuration.js';
 
-/** A team's terms on a service. */
+/** A team's weight, priority and limit on a service. */
 export interface TeamPolicy {
   readonly team: string;
-  /** The weight with the team's priority on the service in it. */
+  /** The team's weight times 2 to the power of its priority. */
   readonly weight: number;
   readonly priority: number;
   readonly maxInFlight: number;
 }
 
-/** Finds a team's terms on a service, or says why it has none. */
+/** Finds a team's policy on a service, or returns why it has no access. */
 export function findTeamPolicy(
   configuration: Configuration,
   team: string | undefined,
