--- a/packages/daemon/src/answer/engine_chooser.ts
+++ b/packages/daemon/src/answer/engine_chooser.ts
@@ -24,6 +24,7 @@
 
 /** Load per slot from which an endpoint gets no new work. */
 const MAX_LOAD = 1;
+/** The same for a started answer that is continued. */
 const MAX_LOAD_RESUMING = 1.5;
 /** Unresponsive endpoints from which on their failure domain is avoided. */
 const MIN_LOST_TO_AVOID_DOMAIN = 2;
--- a/packages/daemon/src/answer/record_finder.ts
+++ b/packages/daemon/src/answer/record_finder.ts
@@ -36,7 +36,7 @@
   readonly random: Random;
 }
 
-/** Record names are drawn below this bound; a request's names never clash. */
+/** Record names are random below this bound, so that they don't collide. */
 const RECORD_NAME_RANGE = 2 ** 40;
 
 /** Finds or creates the records of requests. */
