--- /dev/null
+++ b/packages/daemon/src/answer/stall_detector.ts
@@ -0,0 +1,111 @@
+/**
+ * Detects a stalled stream. After a time without events its endpoint is probed;
+ * if the probe fails, or if no event arrives for longer still, the stream is
+ * reported as lost.
+ */
+import type {Clock} from '@irisdock/kernel';
+import type {StallLimits} from '@irisdock/decisions';
+
+/** Why a stream without events was lost: the probe failed, or time ran out. */
+export type StallKind = 'silent' | 'stalled';
+
+/** The dependencies and callbacks of a detector. */
+export interface StallDetectorParts {
+  readonly clock: Clock;
+  /** Returns the current limits. */
+  getLimits(): StallLimits;
+  /** Probes the endpoint; resolves to true if it answers. */
+  probe(): Promise<boolean>;
+  handleLoss(kind: StallKind): void;
+  /** Called once per pause in the stream if the endpoint answers a probe. */
+  handleQuiet(): void;
+}
+
+/** A timer that fires later than this means that this process was paused. */
+const MAX_TIMER_DELAY_MS = 100;
+
+/** Detects stalls of one stream. */
+export class StallDetector {
+  private lastEventAt: number;
+  private timer: NodeJS.Timeout | undefined;
+  private paused = false;
+  private stopped = false;
+  /** Value of `lastEventAt` for which a quiet stream was last reported. */
+  private quietReportedFor: number | undefined;
+
+  constructor(private readonly parts: StallDetectorParts) {
+    this.lastEventAt = parts.clock.getNow();
+  }
+
+  /** Starts the detection. */
+  start(): void {
+    this.markActive();
+    this.planCheck(this.parts.getLimits().probeMs);
+  }
+
+  /** Records an event; returns the time since the previous one, in ms. */
+  markActive(): number {
+    const now = this.parts.clock.getNow();
+    const gap = now - this.lastEventAt;
+    this.lastEventAt = now;
+    return gap;
+  }
+
+  /** Stops counting time, while this side does not read the stream. */
+  pause(): void {
+    this.paused = true;
+  }
+
+  /** Counts time again from now on. */
+  resume(): void {
+    this.paused = false;
+    this.markActive();
+  }
+
+  /** Stops the detection. */
+  stop(): void {
+    this.stopped = true;
+    clearTimeout(this.timer);
+  }
+
+  private planCheck(ms: number): void {
+    if (this.stopped) return;
+    const dueAt = this.parts.clock.getNow() + ms;
+    this.timer = setTimeout(() => {
+      void this.check(dueAt);
+    }, ms);
+  }
+
+  private async check(dueAt: number): Promise<void> {
+    const now = this.parts.clock.getNow();
+    if (this.paused || now - dueAt > MAX_TIMER_DELAY_MS) this.lastEventAt = now;
+    const {probeMs, lostMs} = this.parts.getLimits();
+    const silenceMs = now - this.lastEventAt;
+    if (silenceMs < probeMs) {
+      this.planCheck(probeMs - silenceMs);
+      return;
+    }
+    if (silenceMs >= lostMs) {
+      this.reportLoss('stalled');
+      return;
+    }
+    const {lastEventAt} = this;
+    const isAnswering = await this.parts.probe();
+    const isStillSilent = this.lastEventAt === lastEventAt && !this.paused;
+    if (isStillSilent && isAnswering) this.reportQuiet();
+    if (!isAnswering && isStillSilent) this.reportLoss('silent');
+    else this.planCheck(Math.min(probeMs, Math.max(1, lostMs - silenceMs)));
+  }
+
+  private reportQuiet(): void {
+    if (this.stopped || this.quietReportedFor === this.lastEventAt) return;
+    this.quietReportedFor = this.lastEventAt;
+    this.parts.handleQuiet();
+  }
+
+  private reportLoss(kind: StallKind): void {
+    if (this.stopped) return;
+    this.stop();
+    this.parts.handleLoss(kind);
+  }
+}
