--- a/packages/daemon/src/answer/answer_driver.ts
+++ b/packages/daemon/src/answer/answer_driver.ts
@@ -17,7 +17,7 @@
 import {err, ok, type Result} from 'neverthrow';
 import type {EndpointRecord} from '../endpoint/endpoint_record.js';
 import {DAEMON_ERRORS} from '../errors.js';
-import type {Admission, Admitted} from '../services/admission.js';
+import type {Admission, AdmittedRequest} from '../services/admission.js';
 import type {EndpointDirectory} from '../services/endpoint_directory.js';
 import {AnswerLeg, type LegOptions, type LegResult} from './answer_leg.js';
 import type {AnswerSink, PassedToken} from './answer_sink.js';
@@ -69,7 +69,7 @@
   private readonly assembler: AnswerAssembler;
   private readonly avoid = new Set<string>();
   private readonly startedAt: number;
-  private admitted: Admitted | undefined;
+  private admitted: AdmittedRequest | undefined;
   private losses = 0;
   private attaches = 0;
   private lastTokenAt: number | undefined;
@@ -102,7 +102,7 @@
     try {
       return await this.runLegs(attachTo);
     } finally {
-      this.admitted?.end();
+      this.admitted?.release();
     }
   }
 
@@ -191,7 +191,7 @@
       maxQueueMs: this.record.request.maxQueueMs,
       maxInFlight,
       signal: this.stop,
-      choose: () =>
+      chooseEndpoint: () =>
         this.parts.chooser.choose({avoid: this.avoid, resuming: false}),
     };
   }
@@ -215,7 +215,7 @@
       engine,
       stop: this.stop,
       handleQuiet: () => {
-        parts.directory.reportQuiet(endpoint);
+        parts.directory.reportStall(endpoint);
       },
       handleAccepted: () => {
         this.searchUntil = undefined;
--- a/packages/daemon/src/caller/completion_route.ts
+++ b/packages/daemon/src/caller/completion_route.ts
@@ -108,7 +108,7 @@
     if (resume.isErr()) return err(resume.error);
     const id = headers.requestId ?? this.parts.createOwnId();
     return ok({
-      id: ownership.readId(id),
+      id: ownership.parseId(id),
       request: createRequest(id, headers, body, spec.value, terms.value),
       fromOffset,
       resuming: headers.isResuming,
--- a/packages/daemon/src/caller/plain_route.ts
+++ b/packages/daemon/src/caller/plain_route.ts
@@ -8,7 +8,7 @@
 import {DAEMON_ERRORS} from '../errors.js';
 import type {Configuration} from '../services/configuration.js';
 import type {Ownership} from '../services/ownership.js';
-import type {PlainAsk, PlainCalls} from '../services/plain_calls.js';
+import type {PlainRequest, PlainCalls} from '../services/plain_calls.js';
 import {REQUEST_ID_HEADER, TEAM_HEADER} from './headers.js';
 import {sendOwnerRefusal} from './owner_answer.js';
 import {readAskParts} from './ask_reader.js';
@@ -68,7 +68,7 @@
     request: WebRequest,
     headers: RequestHeaders,
     body: Buffer,
-  ): Result<PlainAsk, KnownError> {
+  ): Result<PlainRequest, KnownError> {
     const bar = this.parts.findBar();
     if (bar !== undefined) return err(bar);
     const {configuration, ownership} = this.parts;
@@ -82,7 +82,7 @@
     const {team, weight, maxInFlight} = terms.value;
     const id = headers.requestId ?? this.parts.createOwnId();
     return ok({
-      id: ownership.readId(id),
+      id: ownership.parseId(id),
       service,
       spec,
       team,
--- a/packages/daemon/src/configuration/table_rows.ts
+++ b/packages/daemon/src/configuration/table_rows.ts
@@ -50,12 +50,12 @@
 }
 
 /** Creates the value of the archive's row. */
-export function createArchiveRow(through: number): string {
+export function createArchiveRowValue(through: number): string {
   return JSON.stringify({through});
 }
 
 /** Reads how far the archive reaches; 0 when there is none yet. */
-export function readArchived(row: TableRow | undefined): number {
+export function readArchivedRevision(row: TableRow | undefined): number {
   if (row === undefined) return 0;
   return ARCHIVE_SCHEMA.parse(JSON.parse(row.value)).through;
 }
@@ -67,10 +67,10 @@
 };
 
 /** The end of the range of all changes. */
-export const CHANGES_UNTIL = `irisdock/change/${LAST}`;
+export const CHANGE_RANGE_END = `irisdock/change/${LAST}`;
 
 /** Reads the revision of the head row; 0 when there is none yet. */
-export function readHead(row: TableRow | undefined): number {
+export function readHeadRevision(row: TableRow | undefined): number {
   if (row === undefined) return 0;
   return HEAD_SCHEMA.parse(JSON.parse(row.value)).revision;
 }
--- a/packages/daemon/src/configuration/news_queue.ts
+++ b/packages/daemon/src/configuration/update_queue.ts
@@ -6,7 +6,7 @@
 import type {Stream} from 'most';
 
 /** News waiting for one reader. */
-export class NewsQueue<T> {
+export class UpdateQueue<T> {
   private readonly items: T[] = [];
   private wake: (() => void) | undefined;
   private overflown = false;
@@ -14,7 +14,7 @@
   constructor(private readonly maxItems: number) {}
 
   /** Whether the reader fell too far behind. */
-  get isOverflown(): boolean {
+  get hasOverflowed(): boolean {
     return this.overflown;
   }
 
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -100,7 +100,7 @@
     settings: SettingsValues,
   ): Promise<{caller: string; operator: string; peer: string}> {
     await this.kernel.start(settings);
-    return this.kernel.find(LISTENERS).places;
+    return this.kernel.find(LISTENERS).addresses;
   }
 
   /** Drains and stops. */
--- a/packages/daemon/src/operator/audit_route.ts
+++ b/packages/daemon/src/operator/audit_route.ts
@@ -9,7 +9,7 @@
 import {err, ok, type Result} from 'neverthrow';
 import * as z from 'zod';
 import {
-  CHANGES_UNTIL,
+  CHANGE_RANGE_END,
   getArchiveObjectName,
   getChangeRowKey,
   readChange,
@@ -56,7 +56,7 @@
   limit: number,
 ): Promise<Result<readonly Change[], KnownError>> {
   const from = getChangeRowKey(after + 1);
-  const until = CHANGES_UNTIL;
+  const until = CHANGE_RANGE_END;
   const rows = await sources.table.scanRows({from, until, limit});
   if (rows.isErr()) return err(rows.error);
   const changes = rows.value.map(readChange);
--- a/packages/daemon/src/operator/resource_routes.ts
+++ b/packages/daemon/src/operator/resource_routes.ts
@@ -19,7 +19,7 @@
 import {err, ok, type Result} from 'neverthrow';
 import * as z from 'zod';
 import type {ChangeRequest} from '../configuration/change_request.js';
-import {NewsQueue} from '../configuration/news_queue.js';
+import {UpdateQueue} from '../configuration/update_queue.js';
 import {DAEMON_ERRORS} from '../errors.js';
 import {createCallerSignal} from '../answer/caller_signal.js';
 import type {Configuration} from '../services/configuration.js';
@@ -165,7 +165,7 @@
       return;
     }
     const signal = createCallerSignal(response);
-    const queue = new NewsQueue<readonly Change[]>(MAX_BEHIND);
+    const queue = new UpdateQueue<readonly Change[]>(MAX_BEHIND);
     queue.readFrom(this.configuration.changes, signal);
     const missed = this.configuration.reader.getChangesAfter(after.value);
     if (missed === undefined) {
@@ -176,7 +176,7 @@
     startEvents(response);
     let last = after.value;
     let batches: (readonly Change[])[] = [missed];
-    while (!signal.aborted && !queue.isOverflown) {
+    while (!signal.aborted && !queue.hasOverflowed) {
       for (const change of batches.flat()) {
         if (change.revision <= last) continue;
         // A snapshot came in between; the changes before it are not known.
--- a/packages/daemon/src/operator/status_route.ts
+++ b/packages/daemon/src/operator/status_route.ts
@@ -26,7 +26,7 @@
       hostId: host.hostId,
       incarnation: host.incarnation,
       failureDomain: host.failureDomain,
-      right: membership.getRight(),
+      right: membership.getServingDecision(),
       state: membership.view.self.state,
       tableAgeMs,
     },
--- a/packages/daemon/src/services/admission.ts
+++ b/packages/daemon/src/services/admission.ts
@@ -25,7 +25,7 @@
 import {ENDPOINTS} from './endpoint_directory.js';
 
 /** A request that asks to run. */
-export interface AdmissionEntry {
+export interface AdmissionRequest {
   readonly id: string;
   readonly service: string;
   readonly team: string;
@@ -40,20 +40,20 @@
   /** Aborted when the caller is gone. */
   readonly signal: AbortSignal;
   /** Chooses an endpoint with room; undefined when there is none. */
-  choose(): EndpointRecord | undefined;
+  chooseEndpoint(): EndpointRecord | undefined;
 }
 
 /** A place on an endpoint; the holder gives it back with `end`. */
-export interface Admitted {
+export interface AdmittedRequest {
   readonly endpoint: EndpointRecord;
   /** Gives the team's place back; the endpoint's is given back apart. */
-  readonly end: () => void;
+  readonly release: () => void;
 }
 
-type Reply = (result: Result<Admitted, KnownError>) => void;
+type Reply = (result: Result<AdmittedRequest, KnownError>) => void;
 
 interface Waiting {
-  readonly entry: AdmissionEntry;
+  readonly entry: AdmissionRequest;
   readonly since: number;
   readonly reply: Reply;
 }
@@ -104,12 +104,14 @@
   }
 
   /** Admits a request when an endpoint has room, or says why not. */
-  async submit(entry: AdmissionEntry): Promise<Result<Admitted, KnownError>> {
+  async submit(
+    entry: AdmissionRequest,
+  ): Promise<Result<AdmittedRequest, KnownError>> {
     const refusal = this.findRefusal(entry);
     if (refusal !== undefined) return err(this.count(entry, refusal));
     const gate = this.getGate(entry);
     if (gate.queue.size === 0) {
-      const endpoint = entry.choose();
+      const endpoint = entry.chooseEndpoint();
       if (endpoint !== undefined) return ok(this.admit(entry, endpoint, 0));
     }
     return new Promise((reply) => {
@@ -118,7 +120,7 @@
   }
 
   /** Lets waiting requests of a service run while there is room. */
-  startWaiting(service: string): void {
+  admitWaiting(service: string): void {
     const gate = this.gates.get(service);
     if (gate === undefined || gate.queue.size === 0) return;
     while (this.startOne(gate)) continue;
@@ -156,7 +158,7 @@
     }
   }
 
-  private findRefusal(entry: AdmissionEntry): KnownError | undefined {
+  private findRefusal(entry: AdmissionRequest): KnownError | undefined {
     if (this.leaving) return DAEMON_ERRORS.create('leaving', {}, 1);
     const {team, service, maxInFlight: limit} = entry;
     if (entry.signal.aborted) {
@@ -168,7 +170,7 @@
     return DAEMON_ERRORS.create('team_at_limit', {team, limit}, retry);
   }
 
-  private getGate(entry: AdmissionEntry): Gate {
+  private getGate(entry: AdmissionRequest): Gate {
     const known = this.gates.get(entry.service);
     if (known !== undefined) {
       known.maxQueue = entry.maxQueue;
@@ -233,7 +235,7 @@
   private startOne(gate: Gate): boolean {
     for (const waiter of gate.queue.listHeads(HEADS)) {
       const waiting = gate.waiting.get(waiter.id);
-      const endpoint = waiting?.entry.choose();
+      const endpoint = waiting?.entry.chooseEndpoint();
       if (waiting === undefined || endpoint === undefined) continue;
       const now = this.parts.clock.getNow();
       gate.queue.takeHead(waiter.team);
@@ -247,10 +249,10 @@
   }
 
   private admit(
-    entry: AdmissionEntry,
+    entry: AdmissionRequest,
     endpoint: EndpointRecord,
     waitMs: number,
-  ): Admitted {
+  ): AdmittedRequest {
     const {team, service} = entry;
     endpoint.startRequest();
     this.teams.set(team, (this.teams.get(team) ?? 0) + 1);
@@ -260,7 +262,7 @@
       if (left === 0) this.teams.delete(team);
       else this.teams.set(team, left);
     };
-    return {endpoint, end};
+    return {endpoint, release: end};
   }
 
   private refuse(gate: Gate, waiter: QueuedRequest, error: KnownError): void {
@@ -270,7 +272,7 @@
     waiting.reply(err(this.count(waiting.entry, error)));
   }
 
-  private count(entry: AdmissionEntry, error: KnownError): KnownError {
+  private count(entry: AdmissionRequest, error: KnownError): KnownError {
     this.parts.refusals.inc({service: entry.service, kind: error.kind});
     return error;
   }
@@ -329,8 +331,8 @@
     return {
       api,
       start() {
-        void context.find(ENDPOINTS).room.observe((service) => {
-          api.startWaiting(service);
+        void context.find(ENDPOINTS).capacityUpdates.observe((service) => {
+          api.admitWaiting(service);
         });
         return Promise.resolve();
       },
@@ -338,7 +340,7 @@
   },
 });
 
-function createWaiter(entry: AdmissionEntry, now: number): QueuedRequest {
+function createWaiter(entry: AdmissionRequest, now: number): QueuedRequest {
   const {id, team, weight, cost, maxQueueMs} = entry;
   return {id, team, weight, cost, deadlineAt: now + maxQueueMs};
 }
--- a/packages/daemon/src/services/archive.ts
+++ b/packages/daemon/src/services/archive.ts
@@ -20,14 +20,14 @@
 import {
   ARCHIVE_BATCH,
   ARCHIVE_KEY,
-  createArchiveRow,
+  createArchiveRowValue,
   getArchiveObjectName,
   getChangeRowKey,
   getOperationRowKey,
   HEAD_KEY,
-  readArchived,
+  readArchivedRevision,
   readChange,
-  readHead,
+  readHeadRevision,
 } from '../configuration/table_rows.js';
 import {HOST, type Host} from './host.js';
 import {MEMBERSHIP, type Membership} from './membership.js';
@@ -63,8 +63,8 @@
     if (rows.isErr()) return;
     const archiveRow = rows.value.find((row) => row.key === ARCHIVE_KEY);
     const headRow = rows.value.find((row) => row.key === HEAD_KEY);
-    this.through = readArchived(archiveRow);
-    const waiting = readHead(headRow) - this.through;
+    this.through = readArchivedRevision(archiveRow);
+    const waiting = readHeadRevision(headRow) - this.through;
     if (waiting < keepChanges + ARCHIVE_BATCH) return;
     await this.saveBatch(this.through + 1, archiveRow?.version ?? 0);
   }
@@ -92,7 +92,7 @@
     const done = await table.commit({
       conditions: [{key: ARCHIVE_KEY, version}],
       writes: [
-        {key: ARCHIVE_KEY, value: createArchiveRow(through)},
+        {key: ARCHIVE_KEY, value: createArchiveRowValue(through)},
         ...changes.flatMap(listDeletes),
       ],
     });
--- a/packages/daemon/src/services/callers.ts
+++ b/packages/daemon/src/services/callers.ts
@@ -58,8 +58,8 @@
   }
 
   /** Gives the reason why this host takes no new work, if there is one. */
-  findBar(): KnownError | undefined {
-    const right = this.parts.membership.getRight();
+  findRefusal(): KnownError | undefined {
+    const right = this.parts.membership.getServingDecision();
     if (right === 'refuse_no_configuration') {
       return DAEMON_ERRORS.create('not_configured', {}, 1);
     }
@@ -73,7 +73,7 @@
     const parts = {
       ...this.parts,
       signer: host.signer,
-      findBar: () => this.findBar(),
+      findBar: () => this.findRefusal(),
       createOwnId: () => ownership.createId(host),
     };
     const completions = new CompletionRoute(parts);
--- a/packages/daemon/src/services/configuration.ts
+++ b/packages/daemon/src/services/configuration.ts
@@ -70,7 +70,7 @@
   }
 
   /** Notes that the table was heard so many milliseconds ago. */
-  recordTableHeard(ageMs: number): void {
+  recordTableContact(ageMs: number): void {
     const at = this.clock.getNow() - ageMs;
     this.tableHeardAt = Math.max(this.tableHeardAt, at);
   }
--- a/packages/daemon/src/services/configuration_reader.ts
+++ b/packages/daemon/src/services/configuration_reader.ts
@@ -13,11 +13,11 @@
 import type {Resource} from '@irisdock/resources';
 import * as z from 'zod';
 import {
-  CHANGES_UNTIL,
+  CHANGE_RANGE_END,
   getChangeRowKey,
   HEAD_KEY,
   readChange,
-  readHead,
+  readHeadRevision,
   readResource,
   RESOURCE_RANGE,
 } from '../configuration/table_rows.js';
@@ -41,7 +41,7 @@
   ) {}
 
   /** Reads what is new; calls made meanwhile share the round. */
-  async readNews(): Promise<void> {
+  async readUpdates(): Promise<void> {
     this.reading ??= this.readOnce().finally(() => {
       this.reading = undefined;
     });
@@ -61,13 +61,13 @@
     const caughtUp =
       head === revision ||
       (revision === 0 ? await this.load() : await this.readChanges(head));
-    if (caughtUp) this.configuration.recordTableHeard(this.now() - begunAt);
+    if (caughtUp) this.configuration.recordTableContact(this.now() - begunAt);
   }
 
   private async readHeadRevision(): Promise<number | undefined> {
     const rows = await this.table.readRows([HEAD_KEY]);
     this.reportAway(rows.isErr(), rows.isErr() ? rows.error.message : '');
-    return rows.isOk() ? readHead(rows.value[0]) : undefined;
+    return rows.isOk() ? readHeadRevision(rows.value[0]) : undefined;
   }
 
   /** Logs when the table goes away and comes back, not each time. */
@@ -83,7 +83,7 @@
       const before = this.configuration.revision;
       const rows = await this.table.scanRows({
         from: getChangeRowKey(before + 1),
-        until: CHANGES_UNTIL,
+        until: CHANGE_RANGE_END,
         limit: PAGE,
       });
       if (rows.isErr()) return false;
@@ -160,7 +160,7 @@
         const ms = Math.max(pollMs, shared) * spread;
         return context.clock.wait(ms, signal);
       },
-      () => api.readNews(),
+      () => api.readUpdates(),
       context.log,
     );
     return {
--- a/packages/daemon/src/services/configuration_writer.ts
+++ b/packages/daemon/src/services/configuration_writer.ts
@@ -36,7 +36,7 @@
   HEAD_KEY,
   HEAD_SCHEMA,
   readChange,
-  readHead,
+  readHeadRevision,
   readResource,
 } from '../configuration/table_rows.js';
 import {DAEMON_ERRORS} from '../errors.js';
@@ -151,7 +151,7 @@
     if (rows.isErr()) return {outcome: 'again', error: rows.error};
     const {head, operation} = rows.value;
     if (operation !== undefined) return this.findAccepted(operation);
-    const revision = readHead(head);
+    const revision = readHeadRevision(head);
     await this.readUntil(revision);
     if (this.parts.configuration.revision !== revision) {
       return {outcome: 'again'};
@@ -200,7 +200,7 @@
 
   private async readUntil(revision: number): Promise<void> {
     const {configuration, reader} = this.parts;
-    if (configuration.revision < revision) await reader.readNews();
+    if (configuration.revision < revision) await reader.readUpdates();
   }
 
   /** Checks a change against what is there; gives the present version. */
--- a/packages/daemon/src/services/endpoint_directory.ts
+++ b/packages/daemon/src/services/endpoint_directory.ts
@@ -40,7 +40,7 @@
 export class EndpointDirectory {
   readonly prefixes: PrefixIndex;
   /** Names of services whose endpoints may have room now. */
-  readonly room: Stream<string>;
+  readonly capacityUpdates: Stream<string>;
   private readonly roomChannel = new Channel<string>();
   private readonly records = new Map<string, EndpointRecord>();
   private readonly gaps = new Map<string, ServiceGaps>();
@@ -52,7 +52,7 @@
     maxBlocks: number,
   ) {
     this.prefixes = new PrefixIndex(maxBlocks);
-    this.room = this.roomChannel.stream;
+    this.capacityUpdates = this.roomChannel.stream;
   }
 
   /** Gives all endpoints in use. */
@@ -116,7 +116,7 @@
   }
 
   /** Notes that a stream is silent at an endpoint that answers. */
-  reportQuiet(record: EndpointRecord): void {
+  reportStall(record: EndpointRecord): void {
     record.markQuiet();
     const {address: endpoint, service} = record;
     this.parts.quiet.inc({service});
--- a/packages/daemon/src/services/host.ts
+++ b/packages/daemon/src/services/host.ts
@@ -50,7 +50,7 @@
   settings: SETTINGS,
   needs: [LISTENERS],
   create(context, settings) {
-    const {places} = context.find(LISTENERS);
+    const {addresses: places} = context.find(LISTENERS);
     const api: Host = {
       hostId: settings.id || places.caller,
       incarnation: createIncarnation(
--- a/packages/daemon/src/services/listeners.ts
+++ b/packages/daemon/src/services/listeners.ts
@@ -18,7 +18,7 @@
   readonly operators: WebServer;
   readonly peers: PeerServer;
   /** The places that others are told; set once started. */
-  readonly places: {caller: string; operator: string; peer: string};
+  readonly addresses: {caller: string; operator: string; peer: string};
 }
 
 /** The key of the service. */
@@ -73,12 +73,12 @@
       callers: createServer(settings.callers),
       operators: createServer(settings.operators),
       peers: new PeerServer(settings.peers),
-      places: {caller: '', operator: '', peer: ''},
+      addresses: {caller: '', operator: '', peer: ''},
     };
     return {
       api,
       async start() {
-        const {places} = api;
+        const {addresses: places} = api;
         const caller = await api.callers.start();
         const peer = await api.peers.start();
         places.operator = await api.operators.start();
--- a/packages/daemon/src/services/membership.ts
+++ b/packages/daemon/src/services/membership.ts
@@ -27,7 +27,7 @@
 /** The hosts as this one sees them. */
 export class Membership {
   /** Notes that are news here and to be passed on. */
-  readonly news: Stream<readonly MemberNote[]>;
+  readonly updates: Stream<readonly MemberNote[]>;
   private readonly channel = new Channel<readonly MemberNote[]>();
 
   constructor(
@@ -36,7 +36,7 @@
     private readonly clock: Clock,
     private readonly maxTableAgeMs: number,
   ) {
-    this.news = this.channel.stream;
+    this.updates = this.channel.stream;
   }
 
   /** Whether this host is leaving. */
@@ -55,12 +55,12 @@
   }
 
   /** Takes it that a host's address refused a connection. */
-  recordRefusal(hostId: string): void {
+  recordConnectionRefused(hostId: string): void {
     this.post(this.view.recordConnectionRefused(hostId, this.clock.getNow()));
   }
 
   /** Moves on with time. */
-  update(): void {
+  applyTimeouts(): void {
     this.post(this.view.applyTimeouts(this.clock.getNow()));
   }
 
@@ -70,7 +70,7 @@
   }
 
   /** Decides whether this host may take new work. */
-  getRight(): ServingDecision {
+  getServingDecision(): ServingDecision {
     return decideServing(this.getContact());
   }
 
@@ -172,7 +172,7 @@
     const ticks = new Repeater(
       (signal) => context.clock.wait(TICK_MS, signal),
       () => {
-        api.update();
+        api.applyTimeouts();
         return Promise.resolve();
       },
       context.log,
--- a/packages/daemon/src/services/operators.ts
+++ b/packages/daemon/src/services/operators.ts
@@ -97,7 +97,7 @@
   callers: Callers,
   leaving: boolean,
 ): void {
-  const bar = callers.findBar();
+  const bar = callers.findRefusal();
   const ready = bar === undefined && !leaving;
   const reason = leaving ? 'leaving' : (bar?.kind ?? '');
   sendJson(request.response, ready ? 200 : 503, {ready, reason});
--- a/packages/daemon/src/services/orders.ts
+++ b/packages/daemon/src/services/orders.ts
@@ -55,7 +55,7 @@
 });
 
 /** Gives orders while this host holds the lease. */
-export class Orders {
+export class OrderDispatcher {
   private readonly lease: LeaseState;
   private readonly unwantedSince = new Map<string, number>();
 
@@ -177,7 +177,7 @@
 }
 
 /** The key of the service. */
-export const ORDERS = createServiceKey<Orders>('orders');
+export const ORDERS = createServiceKey<OrderDispatcher>('orders');
 
 const SETTINGS = z.object({
   loadsPerSecond: z.coerce.number().int().min(1).default(2).meta({
@@ -196,7 +196,7 @@
   settings: SETTINGS,
   needs: [ADMISSION, CONFIGURATION, ENDPOINTS, HOST, MEMBERSHIP, PLATFORM],
   create(context, settings) {
-    const api = new Orders({
+    const api = new OrderDispatcher({
       host: context.find(HOST),
       table: context.find(PLATFORM).table,
       configuration: context.find(CONFIGURATION),
--- a/packages/daemon/src/services/ownership.ts
+++ b/packages/daemon/src/services/ownership.ts
@@ -26,7 +26,7 @@
 const SERIAL_PART = 2 ** 24;
 
 /** What is known of a request when it arrives. */
-export interface Arrival {
+export interface IncomingRequest {
   readonly id: ParsedRequestId;
   readonly repeatable: boolean;
   readonly resuming: boolean;
@@ -62,7 +62,7 @@
   ) {}
 
   /** How long the fate of a request is remembered, in milliseconds. */
-  get keepMs(): number {
+  get retentionMs(): number {
     // Longer than an id may start, so that none starts after it is forgotten.
     return (this.startWithinSeconds + 60) * 1000;
   }
@@ -80,12 +80,12 @@
   }
 
   /** Reads an id that came with a request. */
-  readId(id: string): ParsedRequestId {
+  parseId(id: string): ParsedRequestId {
     return parseRequestId(id, this.host.signer);
   }
 
   /** Decides what this host may do with a request. */
-  check(arrival: Arrival): Result<Permission, OwnerRefusal> {
+  check(arrival: IncomingRequest): Result<Permission, OwnerRefusal> {
     const {hostId, incarnation} = this.host;
     const owner =
       arrival.id.origin === 'minted'
--- a/packages/daemon/src/services/peer_links.ts
+++ b/packages/daemon/src/services/peer_links.ts
@@ -27,7 +27,7 @@
 import type {Stream} from 'most';
 import {Counter} from 'prom-client';
 import * as z from 'zod';
-import {NewsQueue} from '../configuration/news_queue.js';
+import {UpdateQueue} from '../configuration/update_queue.js';
 import {CONFIGURATION, type Configuration} from './configuration.js';
 import {HOST, type Host} from './host.js';
 import {LISTENERS} from './listeners.js';
@@ -77,7 +77,7 @@
     const {membership, configuration} = parts;
     this.hints = this.hintChannel.stream;
     this.loads = this.loadChannel.stream;
-    const members = membership.news.map((m) => ({...NOTHING, members: m}));
+    const members = membership.updates.map((m) => ({...NOTHING, members: m}));
     const changes = configuration.changes.map((c) => ({
       ...NOTHING,
       changes: c,
@@ -105,11 +105,11 @@
     signal: AbortSignal,
   ): AsyncGenerator<PeerNews> {
     const {membership, heartbeatMs} = this.parts;
-    const queue = new NewsQueue<Passed>(MAX_QUEUED);
+    const queue = new UpdateQueue<Passed>(MAX_QUEUED);
     queue.readFrom(this.outgoing, signal);
     membership.applyNotes([watcher]);
     yield this.createNews({...NOTHING, members: membership.view.list()});
-    while (!signal.aborted && !queue.isOverflown) {
+    while (!signal.aborted && !queue.hasOverflowed) {
       const items = await queue.takeAll(heartbeatMs, signal);
       yield this.createNews(createJoined(items));
     }
@@ -183,7 +183,7 @@
     } catch (thrown) {
       const error = getErrorText(thrown);
       if (!signal.aborted) log.writeDebug('A link broke.', {address, error});
-      if (isRefused(thrown)) membership.recordRefusal(hostId);
+      if (isRefused(thrown)) membership.recordConnectionRefused(hostId);
     }
     client.close();
     await clock.wait(LINK_CHECK_MS, signal);
@@ -208,7 +208,7 @@
     configuration.applyChanges(news.changes.map(parseChange));
     if (configuration.revision < revision) await this.loadFrom(client);
     if (configuration.revision >= revision) {
-      configuration.recordTableHeard(tableAgeMs);
+      configuration.recordTableContact(tableAgeMs);
     }
   }
 
--- a/packages/daemon/src/services/plain_calls.ts
+++ b/packages/daemon/src/services/plain_calls.ts
@@ -31,7 +31,7 @@
 import {OWNERSHIP, type OwnerRefusal, type Ownership} from './ownership.js';
 
 /** A checked call. */
-export interface PlainAsk {
+export interface PlainRequest {
   readonly id: ParsedRequestId;
   readonly service: string;
   readonly spec: PlainSpec;
@@ -66,7 +66,7 @@
   private running = 0;
 
   constructor(private readonly parts: CallsParts) {
-    this.ledger = new RequestLedger(parts.ownership.keepMs, () => true);
+    this.ledger = new RequestLedger(parts.ownership.retentionMs, () => true);
   }
 
   /** Calls that are under way. */
@@ -75,7 +75,7 @@
   }
 
   /** Passes a call on and gives its answer, or the reason why not. */
-  async serve(ask: PlainAsk): Promise<Result<PlainAnswer, OwnerRefusal>> {
+  async serve(ask: PlainRequest): Promise<Result<PlainAnswer, OwnerRefusal>> {
     const now = this.parts.clock.getNow();
     this.ledger.dropOld(now);
     const refusal = this.findRefusal(ask);
@@ -94,7 +94,7 @@
     }
   }
 
-  private findRefusal(ask: PlainAsk): OwnerRefusal | undefined {
+  private findRefusal(ask: PlainRequest): OwnerRefusal | undefined {
     const {id, repeatable} = ask;
     const ledger = this.ledger.find(id.id) === undefined ? undefined : 'ended';
     const permission = this.parts.ownership.check({
@@ -109,7 +109,9 @@
     return {error: DAEMON_ERRORS.create('already_sent')};
   }
 
-  private async run(ask: PlainAsk): Promise<Result<PlainAnswer, KnownError>> {
+  private async run(
+    ask: PlainRequest,
+  ): Promise<Result<PlainAnswer, KnownError>> {
     const avoid = new Set<string>();
     const admitted = await this.parts.admission.submit({
       id: ask.id.id,
@@ -121,19 +123,19 @@
       maxQueueMs: ask.maxQueueMs,
       maxInFlight: ask.maxInFlight,
       signal: ask.signal,
-      choose: () => this.choose(ask, avoid),
+      chooseEndpoint: () => this.choose(ask, avoid),
     });
     if (admitted.isErr()) return err(admitted.error);
     this.budget.addFirstAttempt();
     try {
       return await this.tryEndpoints(ask, admitted.value.endpoint, avoid);
     } finally {
-      admitted.value.end();
+      admitted.value.release();
     }
   }
 
   private async tryEndpoints(
-    ask: PlainAsk,
+    ask: PlainRequest,
     first: EndpointRecord,
     avoid: Set<string>,
   ): Promise<Result<PlainAnswer, KnownError>> {
@@ -162,7 +164,7 @@
   }
 
   private async send(
-    ask: PlainAsk,
+    ask: PlainRequest,
     endpoint: EndpointRecord,
   ): Promise<Result<PlainAnswer, KnownError>> {
     const {plain} = endpoint.clients;
@@ -189,7 +191,7 @@
   }
 
   private choose(
-    ask: PlainAsk,
+    ask: PlainRequest,
     avoid: ReadonlySet<string>,
   ): EndpointRecord | undefined {
     const {configuration, directory, random} = this.parts;
--- a/packages/daemon/src/services/streams.ts
+++ b/packages/daemon/src/services/streams.ts
@@ -61,7 +61,7 @@
   private running = 0;
 
   constructor(private readonly parts: StreamsParts) {
-    this.ledger = new RequestLedger(parts.ownership.keepMs, (record) => {
+    this.ledger = new RequestLedger(parts.ownership.retentionMs, (record) => {
       return record.state !== 'running';
     });
     const {ownership, clock, random} = parts;
--- a/packages/daemon/tests/admission.test.ts
+++ b/packages/daemon/tests/admission.test.ts
@@ -1,10 +1,10 @@
 /** The queue of a service answers every request that enters it. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import type {AdmissionEntry} from '../src/services/admission.js';
+import type {AdmissionRequest} from '../src/services/admission.js';
 import {createAdmission} from './fixtures.js';
 
-function createEntry(change: Partial<AdmissionEntry> = {}): AdmissionEntry {
+function createEntry(change: Partial<AdmissionRequest> = {}): AdmissionRequest {
   return {
     id: 'a',
     service: 's',
@@ -15,7 +15,7 @@
     maxQueueMs: 60_000,
     maxInFlight: 0,
     signal: new AbortController().signal,
-    choose: () => undefined,
+    chooseEndpoint: () => undefined,
     ...change,
   };
 }
--- a/packages/daemon/tests/streams.test.ts
+++ b/packages/daemon/tests/streams.test.ts
@@ -13,7 +13,7 @@
   type GenerationRequest,
 } from '../src/answer/request_record.js';
 import {StreamMetrics} from '../src/answer/stream_metrics.js';
-import type {Arrival} from '../src/services/ownership.js';
+import type {IncomingRequest} from '../src/services/ownership.js';
 import {Streams, type StreamsParts} from '../src/services/streams.js';
 import {createAdmission} from './fixtures.js';
 
@@ -51,7 +51,7 @@
     configuration: {listSpecs: () => []},
     ownership: {
       keepMs: 1000,
-      check: ({ledger}: Arrival) => {
+      check: ({ledger}: IncomingRequest) => {
         ledgers.push(ledger);
         return ok(ledger === undefined ? 'start' : 'join');
       },
