--- a/packages/daemon/src/configuration/change_request.ts
+++ b/packages/daemon/src/configuration/change_request.ts
@@ -1,15 +1,15 @@
-/** A change of configuration that somebody asks for. */
+/** A requested configuration change. */
 import type {Change, KindName} from '@irisdock/resources';
 
-/** What is asked for. */
+/** A validated request to put or delete a resource. */
 export interface ChangeRequest {
   readonly operationId: string;
   readonly actor: string;
   readonly action: Change['action'];
   readonly kind: KindName;
   readonly name: string;
-  /** The spec to put, checked against its kind; null for a delete. */
+  /** The spec to put, validated for its kind; null for a delete. */
   readonly spec: unknown;
-  /** The version it must be at; 0 for absent; undefined for any. */
+  /** The version the resource must have; 0: absent; undefined: any. */
   readonly expectedVersion: number | undefined;
 }
--- a/packages/daemon/src/configuration/table_rows.ts
+++ b/packages/daemon/src/configuration/table_rows.ts
@@ -1,4 +1,4 @@
-/** The rows that the system keeps in the platform's table. */
+/** Keys and values of the rows in the platform's table. */
 import {
   CHANGE_SCHEMA,
   RESOURCE_SCHEMA,
@@ -8,79 +8,79 @@
 import type {TableRow} from '@irisdock/storage';
 import * as z from 'zod';
 
-const DIGITS = 12;
-// Sorts after every character that a key may hold.
-const LAST = '\u{7f}';
+const REVISION_DIGITS = 12;
+// Sorts after every character that is allowed in a key.
+const KEY_RANGE_END = '\u{7f}';
 
-/** The row that holds the present revision. */
+/** Key of the row that holds the latest revision. */
 export const HEAD_KEY = 'irisdock/head';
-/** What the head row holds. */
+/** Schema of the head row and of the operation rows. */
 export const HEAD_SCHEMA = z.object({revision: z.number().int().min(0)});
 
-/** Gives the key of a resource's row. */
+/** Returns the key of a resource's row. */
 export function getResourceRowKey(kind: string, name: string): string {
   return `irisdock/resource/${kind}/${name}`;
 }
 
-/** Gives the key of a change's row; keys sort as revisions do. */
+/** Returns the key of a change's row; keys sort in order of revision. */
 export function getChangeRowKey(revision: number): string {
-  return `irisdock/change/${String(revision).padStart(DIGITS, '0')}`;
+  return `irisdock/change/${String(revision).padStart(REVISION_DIGITS, '0')}`;
 }
 
-/** Gives the key of the row that tells an operation's revision. */
+/** Returns the key of the row that maps an operation to its revision. */
 export function getOperationRowKey(operationId: string): string {
   return `irisdock/operation/${operationId}`;
 }
 
-/** Gives the key of a lease's row. */
+/** Returns the key of a lease's row. */
 export function getLeaseRowKey(name: string): string {
   return `irisdock/lease/${name}`;
 }
 
-/** How many changes an archive object holds; the same on all hosts. */
-export const ARCHIVE_BATCH = 100;
-/** The row that tells how far the archive reaches. */
+/** Number of changes per archive object; must be equal on all hosts. */
+export const ARCHIVE_BATCH_CHANGES = 100;
+/** Key of the row that holds the last archived revision. */
 export const ARCHIVE_KEY = 'irisdock/archive';
 const ARCHIVE_SCHEMA = z.object({through: z.number().int().min(0)});
 
-/** Gives the name of the object that holds a revision's change. */
+/** Returns the name of the archive object that contains a revision. */
 export function getArchiveObjectName(revision: number): string {
-  const first = revision - ((revision - 1) % ARCHIVE_BATCH);
-  return `irisdock/changes/${String(first).padStart(DIGITS, '0')}`;
+  const first = revision - ((revision - 1) % ARCHIVE_BATCH_CHANGES);
+  return `irisdock/changes/${String(first).padStart(REVISION_DIGITS, '0')}`;
 }
 
-/** Creates the value of the archive's row. */
+/** Creates the value of the archive row. */
 export function createArchiveRowValue(through: number): string {
   return JSON.stringify({through});
 }
 
-/** Reads how far the archive reaches; 0 when there is none yet. */
+/** Reads the last archived revision; 0 if the row does not exist. */
 export function readArchivedRevision(row: TableRow | undefined): number {
   if (row === undefined) return 0;
   return ARCHIVE_SCHEMA.parse(JSON.parse(row.value)).through;
 }
 
-/** The range of all resources. */
+/** The key range of all resource rows. */
 export const RESOURCE_RANGE = {
   from: 'irisdock/resource/',
-  until: `irisdock/resource/${LAST}`,
+  until: `irisdock/resource/${KEY_RANGE_END}`,
 };
 
-/** The end of the range of all changes. */
-export const CHANGE_RANGE_END = `irisdock/change/${LAST}`;
+/** The end of the key range of all change rows. */
+export const CHANGE_RANGE_END = `irisdock/change/${KEY_RANGE_END}`;
 
-/** Reads the revision of the head row; 0 when there is none yet. */
+/** Reads the latest revision; 0 if the row does not exist. */
 export function readHeadRevision(row: TableRow | undefined): number {
   if (row === undefined) return 0;
   return HEAD_SCHEMA.parse(JSON.parse(row.value)).revision;
 }
 
-/** Reads a change's row. */
+/** Parses a change row. */
 export function readChange(row: TableRow): Change {
   return CHANGE_SCHEMA.parse(JSON.parse(row.value));
 }
 
-/** Reads a resource's row. */
+/** Parses a resource row. */
 export function readResource(row: TableRow): Resource {
   return RESOURCE_SCHEMA.parse(JSON.parse(row.value));
 }
--- a/packages/daemon/src/configuration/update_queue.ts
+++ b/packages/daemon/src/configuration/update_queue.ts
@@ -1,24 +1,24 @@
 /**
- * A queue between a stream of news and one slow reader, such as another host
- * or a watching operator. It is bounded: a reader that falls too far behind
- * is cut and begins again.
+ * A bounded queue between a stream of updates and one slow reader, such as
+ * another host or an operator's watch. After an overflow the reader is
+ * disconnected and has to start over.
  */
 import type {Stream} from 'most';
 
-/** News waiting for one reader. */
+/** The queued updates for one reader. */
 export class UpdateQueue<T> {
   private readonly items: T[] = [];
   private wake: (() => void) | undefined;
-  private overflown = false;
+  private overflowed = false;
 
   constructor(private readonly maxItems: number) {}
 
-  /** Whether the reader fell too far behind. */
+  /** Whether an update was dropped because the queue was full. */
   get hasOverflowed(): boolean {
-    return this.overflown;
+    return this.overflowed;
   }
 
-  /** Adds what a stream brings, until the signal is aborted. */
+  /** Adds all items of a stream until the signal is aborted. */
   readFrom(stream: Stream<T>, signal: AbortSignal): void {
     const subscription = stream.subscribe({
       next: (item) => {
@@ -33,16 +33,16 @@
     });
   }
 
-  /** Adds one item. */
+  /** Adds an item, or marks the queue as overflowed if it is full. */
   add(item: T): void {
-    if (this.items.length >= this.maxItems) this.overflown = true;
+    if (this.items.length >= this.maxItems) this.overflowed = true;
     else this.items.push(item);
     this.wake?.();
   }
 
-  /** Takes all items; waits for the first until `maxMs` or the abort. */
+  /** Takes all items; if there are none, waits up to `maxMs` for the first. */
   async takeAll(maxMs: number, signal: AbortSignal): Promise<T[]> {
-    if (this.items.length === 0 && !this.overflown && !signal.aborted) {
+    if (this.items.length === 0 && !this.overflowed && !signal.aborted) {
       await new Promise<void>((resolve) => {
         const timer = setTimeout(resolve, maxMs);
         this.wake = () => {
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -1,4 +1,4 @@
-/** The daemon's services, and how they run together. */
+/** Assembles the daemon from its services and runs them in the kernel. */
 import {
   createSeed,
   Kernel,
@@ -32,7 +32,7 @@
 import {PLATFORM_SERVICE} from './services/platform.js';
 import {STREAMS_SERVICE} from './services/streams.js';
 
-/** Every service of the daemon. */
+/** All services of the daemon. */
 export const SERVICES: readonly AnyServiceDefinition[] = [
   LISTENERS_SERVICE,
   HOST_SERVICE,
@@ -54,18 +54,18 @@
   OPERATORS_SERVICE,
 ];
 
-/** The settings of the process itself. */
+/** The log settings of the process. */
 export const LOG_SETTINGS = z.object({
   level: z
     .enum(LOG_LEVELS)
     .default('info')
     .meta({
       unit: LOG_LEVELS.join('|'),
-      description: 'The least level of log lines that are written.',
+      description: 'Minimum level of the log lines that are written.',
     }),
 });
 
-/** All settings of the daemon. */
+/** All settings of the daemon, grouped by service. */
 export const SETTINGS_GROUPS: readonly SettingsGroup[] = [
   ...SERVICES.filter((s) => Object.keys(s.settings.shape).length > 0).map(
     (service) => ({name: service.key.name, schema: service.settings}),
@@ -73,9 +73,9 @@
   {name: 'log', schema: LOG_SETTINGS},
 ];
 
-const LOOP_PRECISION_MS = 500;
+const LOOP_SAMPLE_INTERVAL_MS = 500;
 
-/** A daemon that runs. */
+/** The daemon: its services, kernel and metrics. */
 export class Daemon {
   readonly metrics = new Registry();
   private readonly kernel: Kernel;
@@ -84,8 +84,8 @@
     collectDefaultMetrics({
       register: this.metrics,
       prefix: 'irisdock_process_',
-      // The usual 10 ms wakes an idle process a hundred times a second.
-      eventLoopMonitoringPrecision: LOOP_PRECISION_MS,
+      // The default of 10 ms wakes an idle process 100 times per second.
+      eventLoopMonitoringPrecision: LOOP_SAMPLE_INTERVAL_MS,
     });
     this.kernel = new Kernel(SERVICES, {
       clock: new SystemClock(),
@@ -95,7 +95,7 @@
     });
   }
 
-  /** Starts all services; gives the places that were taken. */
+  /** Starts all services; resolves to the advertised addresses. */
   async start(
     settings: SettingsValues,
   ): Promise<{caller: string; operator: string; peer: string}> {
@@ -103,13 +103,13 @@
     return this.kernel.find(LISTENERS).addresses;
   }
 
-  /** Drains and stops. */
+  /** Drains and stops all services. */
   async stop(): Promise<void> {
     await this.kernel.stop();
   }
 }
 
-/** Creates a daemon with the settings of its process. */
+/** Creates a daemon that logs at the configured level. */
 export function createDaemon(settings: SettingsValues): Daemon {
   const {level} = LOG_SETTINGS.parse(settings.get('log') ?? {});
   return new Daemon(new RoarrLogger('daemon', level));
--- a/packages/daemon/src/errors.ts
+++ b/packages/daemon/src/errors.ts
@@ -1,7 +1,7 @@
-/** What the daemon refuses, each with what to do. */
+/** The errors that the daemon returns to callers and operators. */
 import {createErrorTable} from '@irisdock/kernel';
 
-/** Error kinds of the daemon. */
+/** All error kinds of the daemon, with message and remedy. */
 export const DAEMON_ERRORS = createErrorTable({
   unknown_model: {
     status: 404,
@@ -197,5 +197,5 @@
     remedy: 'List the resources again and watch from that revision.',
   },
 });
-/** A kind of daemon error. */
+/** The kind of a daemon error. */
 export type DaemonErrorKind = keyof typeof DAEMON_ERRORS.kinds;
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,4 +1,4 @@
-/** The daemon, for its binary and for tests of its settings and metrics. */
+/** Exports for the binary and for tests of settings and metrics. */
 export * from './daemon.js';
 export * from './errors.js';
 export * from './main.js';
--- a/packages/daemon/src/operator/audit_route.ts
+++ b/packages/daemon/src/operator/audit_route.ts
@@ -1,6 +1,6 @@
 /**
- * `GET /v1/audit`: who changed what. New changes are read from the platform's
- * table, old ones from its object store.
+ * `GET /v1/audit`: the audit log of configuration changes. Recent changes are
+ * read from the platform's table, archived ones from its object store.
  */
 import type {KnownError} from '@irisdock/kernel';
 import type {ObjectStore, TableService} from '@irisdock/storage';
@@ -19,21 +19,26 @@
 const MAX_LIMIT = 1000;
 const CHANGES_SCHEMA = z.array(CHANGE_SCHEMA);
 
-/** What the trail is read from. */
+/** The stores that the audit log is read from. */
 export interface AuditSources {
   readonly table: TableService;
   readonly objects: ObjectStore;
 }
 
-/** Sends the changes after a revision, the oldest first. */
+/** Sends a page of the changes after a revision, oldest first. */
 export async function sendAudit(
   request: WebRequest,
   sources: AuditSources,
 ): Promise<void> {
   const query = request.url.searchParams;
   const after = Math.max(0, Math.floor(Number(query.get('after') ?? 0)) || 0);
-  const wanted = Math.floor(Number(query.get('limit') ?? DEFAULT_LIMIT));
-  const limit = Math.min(MAX_LIMIT, Math.max(1, wanted || DEFAULT_LIMIT));
+  const requestedLimit = Math.floor(
+    Number(query.get('limit') ?? DEFAULT_LIMIT),
+  );
+  const limit = Math.min(
+    MAX_LIMIT,
+    Math.max(1, requestedLimit || DEFAULT_LIMIT),
+  );
   const changes: Change[] = [];
   while (changes.length < limit) {
     const last = changes.at(-1)?.revision ?? after;
@@ -60,7 +65,7 @@
   const rows = await sources.table.scanRows({from, until, limit});
   if (rows.isErr()) return err(rows.error);
   const changes = rows.value.map(readChange);
-  // A first row that is not the next one says that those before are archived.
+  // If the first row is not the next revision, that revision is archived.
   if (changes[0]?.revision === after + 1) return ok(changes);
   const object = await sources.objects.getObject(
     getArchiveObjectName(after + 1),
--- a/packages/daemon/src/operator/resource_routes.ts
+++ b/packages/daemon/src/operator/resource_routes.ts
@@ -1,4 +1,4 @@
-/** The resource API: get, list, put, delete and watch. */
+/** The resource API for operators: get, list, put, delete and watch. */
 import {randomUUID} from 'node:crypto';
 import type {KnownError} from '@irisdock/kernel';
 import {
@@ -25,27 +25,27 @@
 import type {Configuration} from '../services/configuration.js';
 import type {ConfigurationWriter} from '../services/configuration_writer.js';
 
-/** Who asks for a change. */
+/** Request header with the name of who makes a change. */
 export const ACTOR_HEADER = 'x-irisdock-actor';
-/** Names a change, so that one sent twice is made once. */
+/** Request header that identifies a change, so that a retry is idempotent. */
 export const OPERATION_ID_HEADER = 'x-irisdock-operation-id';
 
 const PUT_SCHEMA = z.strictObject({spec: z.unknown()});
 const OPERATION_ID_PATTERN = /^[A-Za-z0-9._-]{1,100}$/;
 const MAX_ACTOR_CHARS = 100;
-const MAX_BEHIND = 1000;
-const WATCH_PING_MS = 5000;
+const MAX_QUEUED_BATCHES = 1000;
+const WATCH_PING_INTERVAL_MS = 5000;
 
-/** Serves the resources. */
+/** Handles the requests of the resource API. */
 export class ResourceRoutes {
   constructor(
     private readonly configuration: Configuration,
     private readonly writer: ConfigurationWriter,
   ) {}
 
-  /** Lists the routes. */
+  /** Lists the routes of the resource API. */
   listRoutes(): Route[] {
-    const one = '/v1/resources/:kind/:name';
+    const resourcePath = '/v1/resources/:kind/:name';
     return [
       {
         method: 'GET',
@@ -56,15 +56,19 @@
       },
       {
         method: 'GET',
-        path: one,
+        path: resourcePath,
         handle: (r) => {
           this.sendOne(r);
         },
       },
-      {method: 'PUT', path: one, handle: (r) => this.submitChange(r, 'put')},
+      {
+        method: 'PUT',
+        path: resourcePath,
+        handle: (r) => this.submitChange(r, 'put'),
+      },
       {
         method: 'DELETE',
-        path: one,
+        path: resourcePath,
         handle: (r) => this.submitChange(r, 'delete'),
       },
       {method: 'GET', path: '/v1/watch', handle: (r) => this.watch(r)},
@@ -89,7 +93,7 @@
       return;
     }
     const name = request.getParameter('name');
-    const resource = this.configuration.reader.get(kind.value, name);
+    const resource = this.configuration.activeState.get(kind.value, name);
     if (resource !== undefined) {
       sendJson(request.response, 200, resource);
       return;
@@ -102,17 +106,17 @@
     request: WebRequest,
     action: Change['action'],
   ): Promise<void> {
-    const asked =
+    const changeRequest =
       action === 'put'
         ? await this.readPut(request)
         : this.createRequest(request, action, null);
-    if (asked.isErr()) {
-      sendError(request.response, asked.error);
+    if (changeRequest.isErr()) {
+      sendError(request.response, changeRequest.error);
       return;
     }
-    const {operationId} = asked.value;
+    const {operationId} = changeRequest.value;
     const headers = {[OPERATION_ID_HEADER]: operationId};
-    const change = await this.writer.submit(asked.value);
+    const change = await this.writer.submit(changeRequest.value);
     if (change.isErr()) sendError(request.response, change.error, headers);
     else sendJson(request.response, 200, change.value, headers);
   }
@@ -136,7 +140,7 @@
     if (name.isErr()) return err(name.error);
     const spec = checkActionSpec(action, kind.value, name.value, rawSpec);
     if (spec.isErr()) return err(spec.error);
-    const expected = readExpected(request);
+    const expected = readExpectedVersion(request);
     if (expected.isErr()) return err(expected.error);
     const operationId = request.getHeader(OPERATION_ID_HEADER) ?? randomUUID();
     if (!OPERATION_ID_PATTERN.test(operationId)) {
@@ -156,38 +160,40 @@
     });
   }
 
-  /** Streams changes as events whose id is the revision. */
+  /** Streams changes as server-sent events whose id is the revision. */
   private async watch(request: WebRequest): Promise<void> {
     const {response} = request;
-    const after = readAfter(request, this.configuration.revision);
+    const after = readAfterRevision(request, this.configuration.revision);
     if (after.isErr()) {
       sendError(response, after.error);
       return;
     }
     const signal = createCallerSignal(response);
-    const queue = new UpdateQueue<readonly Change[]>(MAX_BEHIND);
+    const queue = new UpdateQueue<readonly Change[]>(MAX_QUEUED_BATCHES);
     queue.readFrom(this.configuration.changes, signal);
-    const missed = this.configuration.reader.getChangesAfter(after.value);
-    if (missed === undefined) {
+    const missedChanges = this.configuration.activeState.getChangesAfter(
+      after.value,
+    );
+    if (missedChanges === undefined) {
       const data = {after: after.value};
       sendError(response, DAEMON_ERRORS.create('watch_too_old', data));
       return;
     }
     startEvents(response);
     let last = after.value;
-    let batches: (readonly Change[])[] = [missed];
+    let batches: (readonly Change[])[] = [missedChanges];
     while (!signal.aborted && !queue.hasOverflowed) {
       for (const change of batches.flat()) {
         if (change.revision <= last) continue;
-        // A snapshot came in between; the changes before it are not known.
+        // A snapshot was applied in between; the changes before it are unknown.
         if (change.revision !== last + 1) break;
         last = change.revision;
         const data = JSON.stringify(change);
         response.write(formatEvent({id: change.revision, data}));
       }
-      if (last < this.configuration.reader.logStartRevision) break;
+      if (last < this.configuration.activeState.logStartRevision) break;
       if (batches.length === 0) response.write(': ping\n\n');
-      batches = await queue.takeAll(WATCH_PING_MS, signal);
+      batches = await queue.takeAll(WATCH_PING_INTERVAL_MS, signal);
     }
     response.end();
   }
@@ -202,8 +208,8 @@
   return action === 'put' ? checkSpec(kind, name, spec) : ok(null);
 }
 
-/** `If-Match: <version>`; 0 asks that the resource is absent. */
-function readExpected(
+/** Reads `If-Match: <version>`; 0 requires that the resource is absent. */
+function readExpectedVersion(
   request: WebRequest,
 ): Result<number | undefined, KnownError> {
   const text = request.getHeader('if-match');
@@ -212,7 +218,7 @@
   return err(createHeaderError('if-match', 'send a version number'));
 }
 
-function readAfter(
+function readAfterRevision(
   request: WebRequest,
   fallback: number,
 ): Result<number, KnownError> {
--- a/packages/daemon/src/operator/status_route.ts
+++ b/packages/daemon/src/operator/status_route.ts
@@ -1,4 +1,4 @@
-/** `GET /v1/status`: what this host sees, apart from what was declared. */
+/** `GET /v1/status`: the state observed by this host. */
 import {sendJson, type WebRequest} from '@irisdock/web';
 import type {Admission} from '../services/admission.js';
 import type {Configuration} from '../services/configuration.js';
@@ -7,7 +7,7 @@
 import type {Membership} from '../services/membership.js';
 import type {PeerLinks} from '../services/peer_links.js';
 
-/** What status is made of. */
+/** The services that the status is read from. */
 export interface StatusParts {
   readonly host: Host;
   readonly configuration: Configuration;
@@ -17,7 +17,7 @@
   readonly admission: Admission;
 }
 
-/** Sends the status of this host and of what it sees. */
+/** Sends the state of this host and of the hosts and services it observes. */
 export function sendStatus(request: WebRequest, parts: StatusParts): void {
   const {host, configuration, membership, links} = parts;
   const tableAgeMs = Math.round(Math.min(configuration.tableAgeMs, 1e9));
--- a/packages/daemon/src/services/admission.ts
+++ b/packages/daemon/src/services/admission.ts
@@ -1,7 +1,7 @@
 /**
- * The service `admission`: who waits and who runs. Each service has a queue
- * of its own, so that long generations and small calls do not wait for each
- * other; a request leaves its queue when an endpoint has room for it.
+ * The service `admission`: decides whether a request runs, waits or is refused.
+ * Each service has its own queue, so that short calls do not wait behind long
+ * generations. A request leaves its queue when an endpoint has capacity for it.
  */
 import {
   createService,
@@ -24,7 +24,7 @@
 import {DAEMON_ERRORS} from '../errors.js';
 import {ENDPOINTS} from './endpoint_directory.js';
 
-/** A request that asks to run. */
+/** A request for admission. */
 export interface AdmissionRequest {
   readonly id: string;
   readonly service: string;
@@ -32,198 +32,221 @@
   readonly weight: number;
   /** Expected work, in tokens; 1 for a plain call. */
   readonly cost: number;
-  /** Bounds of the service's queue. */
+  /** Limits of the service's queue. */
   readonly maxQueue: number;
   readonly maxQueueMs: number;
-  /** Requests that the team may have in flight here; 0 for any number. */
+  /** The team's limit of requests in flight on this host; 0 for no limit. */
   readonly maxInFlight: number;
-  /** Aborted when the caller is gone. */
+  /** Aborted when the caller disconnects. */
   readonly signal: AbortSignal;
-  /** Chooses an endpoint with room; undefined when there is none. */
+  /** Chooses an endpoint with capacity; undefined when there is none. */
   chooseEndpoint(): EndpointRecord | undefined;
 }
 
-/** A place on an endpoint; the holder gives it back with `end`. */
+/** An admitted request and the endpoint that was chosen for it. */
 export interface AdmittedRequest {
   readonly endpoint: EndpointRecord;
-  /** Gives the team's place back; the endpoint's is given back apart. */
+  /**
+   * Releases the request's share of the team limit. The endpoint's slot is
+   * released separately, by `endRequest` of its record.
+   */
   readonly release: () => void;
 }
 
 type Reply = (result: Result<AdmittedRequest, KnownError>) => void;
 
-interface Waiting {
+interface WaitingRequest {
   readonly entry: AdmissionRequest;
-  readonly since: number;
+  readonly queuedAt: number;
   readonly reply: Reply;
 }
 
-interface Gate {
+interface ServiceQueue {
   readonly queue: FairQueue;
   readonly estimate: WaitEstimate;
-  readonly waiting: Map<string, Waiting>;
+  readonly waiting: Map<string, WaitingRequest>;
   maxQueue: number;
 }
 
 interface AdmissionParts {
   readonly clock: Clock;
   readonly random: Random;
-  readonly waits: Histogram;
+  readonly waitSeconds: Histogram;
   readonly refusals: Counter;
 }
 
-const HEADS = 16;
-// A wait is only estimated; one near its bound would often be given up late.
-const WAIT_MARGIN = 0.7;
-const EXPIRY_MS = 20;
+/** Teams whose first request is tried when capacity becomes free. */
+const MAX_HEADS_TRIED = 16;
+// A wait is only an estimate: a request queued with an estimate close to its
+// limit would often expire after a long wait.
+const MAX_WAIT_FRACTION = 0.7;
+const EXPIRY_CHECK_INTERVAL_MS = 20;
 
-/** The queues of all services on this host. */
+/** Admits requests and holds the queues of all services on this host. */
 export class Admission {
-  private readonly gates = new Map<string, Gate>();
-  private readonly teams = new Map<string, number>();
-  private expiry: NodeJS.Timeout | undefined;
-  private leaving = false;
+  private readonly serviceQueues = new Map<string, ServiceQueue>();
+  private readonly inFlightByTeam = new Map<string, number>();
+  private expiryTimer: NodeJS.Timeout | undefined;
+  private isLeaving = false;
 
   constructor(private readonly parts: AdmissionParts) {}
 
-  /** Requests admitted and not ended, by team. */
+  /** The number of admitted requests that have not been released. */
   get inFlight(): number {
     let sum = 0;
-    for (const count of this.teams.values()) sum += count;
+    for (const count of this.inFlightByTeam.values()) sum += count;
     return sum;
   }
 
-  /** Gives how many requests wait for a service. */
+  /** Returns the number of requests queued for a service. */
   countWaiting(service: string): number {
-    return this.gates.get(service)?.queue.size ?? 0;
+    return this.serviceQueues.get(service)?.queue.size ?? 0;
   }
 
-  /** Lists the services that have had requests. */
+  /** Lists the services that have received requests. */
   listServices(): string[] {
-    return [...this.gates.keys()];
+    return [...this.serviceQueues.keys()];
   }
 
-  /** Admits a request when an endpoint has room, or says why not. */
+  /** Admits a request, if necessary after queueing, or refuses it. */
   async submit(
     entry: AdmissionRequest,
   ): Promise<Result<AdmittedRequest, KnownError>> {
     const refusal = this.findRefusal(entry);
-    if (refusal !== undefined) return err(this.count(entry, refusal));
-    const gate = this.getGate(entry);
-    if (gate.queue.size === 0) {
+    if (refusal !== undefined) return err(this.countRefusal(entry, refusal));
+    const serviceQueue = this.getServiceQueue(entry);
+    if (serviceQueue.queue.size === 0) {
       const endpoint = entry.chooseEndpoint();
       if (endpoint !== undefined) return ok(this.admit(entry, endpoint, 0));
     }
     return new Promise((reply) => {
-      this.offer(gate, {entry, since: this.parts.clock.getNow(), reply});
+      this.addOrRefuse(serviceQueue, {
+        entry,
+        queuedAt: this.parts.clock.getNow(),
+        reply,
+      });
     });
   }
 
-  /** Lets waiting requests of a service run while there is room. */
+  /** Admits queued requests of a service while there is capacity. */
   admitWaiting(service: string): void {
-    const gate = this.gates.get(service);
-    if (gate === undefined || gate.queue.size === 0) return;
-    while (this.startOne(gate)) continue;
-    if (gate.queue.size === 0) gate.estimate.endBusy();
+    const serviceQueue = this.serviceQueues.get(service);
+    if (serviceQueue === undefined || serviceQueue.queue.size === 0) return;
+    while (this.admitNext(serviceQueue)) continue;
+    if (serviceQueue.queue.size === 0) serviceQueue.estimate.endBusy();
   }
 
-  /** Refuses new requests from now on. */
+  /** Refuses all new requests from now on. */
   startLeaving(): void {
-    this.leaving = true;
+    this.isLeaving = true;
   }
 
-  /** Looks for what has waited too long, for as long as anything waits. */
+  /** Schedules the expiry check as long as any request is queued. */
   private planExpiry(): void {
-    this.expiry ??= setTimeout(() => {
-      this.expiry = undefined;
+    this.expiryTimer ??= setTimeout(() => {
+      this.expiryTimer = undefined;
       this.dropExpired();
-      const gates = [...this.gates.values()];
-      if (gates.some((gate) => gate.queue.size > 0)) this.planExpiry();
-    }, EXPIRY_MS);
+      const queues = [...this.serviceQueues.values()];
+      if (queues.some((each) => each.queue.size > 0)) this.planExpiry();
+    }, EXPIRY_CHECK_INTERVAL_MS);
   }
 
-  /** Refuses what has waited too long. */
+  /** Refuses the queued requests that have reached their deadline. */
   private dropExpired(): void {
     const now = this.parts.clock.getNow();
-    for (const [service, gate] of this.gates) {
-      for (const waiter of gate.queue.takeExpired(now)) {
-        const waiting = gate.waiting.get(waiter.id);
-        const waitMs = Math.round(now - (waiting?.since ?? now));
-        const retry = this.computeRetry(gate, waitMs);
+    for (const [service, serviceQueue] of this.serviceQueues) {
+      for (const waiter of serviceQueue.queue.takeExpired(now)) {
+        const waiting = serviceQueue.waiting.get(waiter.id);
+        const waitMs = Math.round(now - (waiting?.queuedAt ?? now));
+        const retry = this.computeRetrySeconds(serviceQueue, waitMs);
         const data = {service, waitMs};
         const kind = 'waited_too_long';
-        this.refuse(gate, waiter, DECISION_ERRORS.create(kind, data, retry));
+        this.refuse(
+          serviceQueue,
+          waiter,
+          DECISION_ERRORS.create(kind, data, retry),
+        );
       }
-      if (gate.queue.size === 0) gate.estimate.endBusy();
+      if (serviceQueue.queue.size === 0) serviceQueue.estimate.endBusy();
     }
   }
 
   private findRefusal(entry: AdmissionRequest): KnownError | undefined {
-    if (this.leaving) return DAEMON_ERRORS.create('leaving', {}, 1);
+    if (this.isLeaving) return DAEMON_ERRORS.create('leaving', {}, 1);
     const {team, service, maxInFlight: limit} = entry;
     if (entry.signal.aborted) {
       return DAEMON_ERRORS.create('caller_left', {service});
     }
-    const used = this.teams.get(team) ?? 0;
+    const used = this.inFlightByTeam.get(team) ?? 0;
     if (limit === 0 || used < limit) return undefined;
-    const retry = computeRetryAfterSeconds(1000, this.getSpread());
+    const retry = computeRetryAfterSeconds(1000, this.getJitter());
     return DAEMON_ERRORS.create('team_at_limit', {team, limit}, retry);
   }
 
-  private getGate(entry: AdmissionRequest): Gate {
-    const known = this.gates.get(entry.service);
+  private getServiceQueue(entry: AdmissionRequest): ServiceQueue {
+    const known = this.serviceQueues.get(entry.service);
     if (known !== undefined) {
       known.maxQueue = entry.maxQueue;
       return known;
     }
-    const gate: Gate = {
-      queue: new FairQueue(() => gate.maxQueue),
+    const serviceQueue: ServiceQueue = {
+      queue: new FairQueue(() => serviceQueue.maxQueue),
       estimate: new WaitEstimate(),
       waiting: new Map(),
       maxQueue: entry.maxQueue,
     };
-    this.gates.set(entry.service, gate);
-    return gate;
+    this.serviceQueues.set(entry.service, serviceQueue);
+    return serviceQueue;
   }
 
-  private offer(gate: Gate, waiting: Waiting): void {
+  private addOrRefuse(
+    serviceQueue: ServiceQueue,
+    waiting: WaitingRequest,
+  ): void {
     const {entry} = waiting;
     const {service} = entry;
-    const now = waiting.since;
-    const wait = gate.estimate.getWaitMs(gate.queue.size + 1, now);
-    if (wait !== undefined && wait > entry.maxQueueMs * WAIT_MARGIN) {
+    const now = waiting.queuedAt;
+    const wait = serviceQueue.estimate.getWaitMs(
+      serviceQueue.queue.size + 1,
+      now,
+    );
+    if (wait !== undefined && wait > entry.maxQueueMs * MAX_WAIT_FRACTION) {
       const data = {service, waitMs: Math.round(wait)};
-      const retry = this.computeRetry(gate, wait);
+      const retry = this.computeRetrySeconds(serviceQueue, wait);
       const kind = 'would_wait_too_long';
       const error = DECISION_ERRORS.create(kind, data, retry);
-      waiting.reply(err(this.count(entry, error)));
+      waiting.reply(err(this.countRefusal(entry, error)));
       return;
     }
-    const offer = gate.queue.offer(createWaiter(entry, now));
+    const offer = serviceQueue.queue.offer(createWaiter(entry, now));
     if (offer.outcome === 'refused') {
-      const retry = this.computeRetry(gate, 1000);
+      const retry = this.computeRetrySeconds(serviceQueue, 1000);
       const error = DECISION_ERRORS.create('queue_full', {service}, retry);
-      waiting.reply(err(this.count(entry, error)));
+      waiting.reply(err(this.countRefusal(entry, error)));
       return;
     }
-    this.addWaiting(gate, waiting, now);
+    this.addWaiting(serviceQueue, waiting, now);
     if (offer.evicted === undefined) return;
-    const retry = this.computeRetry(gate, 1000);
+    const retry = this.computeRetrySeconds(serviceQueue, 1000);
     const data = {service, team: offer.evicted.team};
     const error = DECISION_ERRORS.create('pushed_out', data, retry);
-    this.refuse(gate, offer.evicted, error);
+    this.refuse(serviceQueue, offer.evicted, error);
   }
 
-  private addWaiting(gate: Gate, waiting: Waiting, now: number): void {
+  private addWaiting(
+    serviceQueue: ServiceQueue,
+    waiting: WaitingRequest,
+    now: number,
+  ): void {
     const {id, service, signal} = waiting.entry;
-    gate.waiting.set(id, waiting);
+    serviceQueue.waiting.set(id, waiting);
     this.planExpiry();
-    gate.estimate.startBusy(now);
+    serviceQueue.estimate.startBusy(now);
     signal.addEventListener(
       'abort',
       () => {
-        if (!gate.queue.remove(id)) return;
-        gate.waiting.delete(id);
+        if (!serviceQueue.queue.remove(id)) return;
+        serviceQueue.waiting.delete(id);
         const error = DAEMON_ERRORS.create('caller_left', {service});
         waiting.reply(err(error));
       },
@@ -231,17 +254,17 @@
     );
   }
 
-  /** Lets the first waiting request run for which there is room. */
-  private startOne(gate: Gate): boolean {
-    for (const waiter of gate.queue.listHeads(HEADS)) {
-      const waiting = gate.waiting.get(waiter.id);
+  /** Admits the first queued request that an endpoint has capacity for. */
+  private admitNext(serviceQueue: ServiceQueue): boolean {
+    for (const waiter of serviceQueue.queue.listHeads(MAX_HEADS_TRIED)) {
+      const waiting = serviceQueue.waiting.get(waiter.id);
       const endpoint = waiting?.entry.chooseEndpoint();
       if (waiting === undefined || endpoint === undefined) continue;
       const now = this.parts.clock.getNow();
-      gate.queue.takeHead(waiter.team);
-      gate.waiting.delete(waiter.id);
-      gate.estimate.recordDequeue(now);
-      const waitMs = now - waiting.since;
+      serviceQueue.queue.takeHead(waiter.team);
+      serviceQueue.waiting.delete(waiter.id);
+      serviceQueue.estimate.recordDequeue(now);
+      const waitMs = now - waiting.queuedAt;
       waiting.reply(ok(this.admit(waiting.entry, endpoint, waitMs)));
       return true;
     }
@@ -255,35 +278,45 @@
   ): AdmittedRequest {
     const {team, service} = entry;
     endpoint.startRequest();
-    this.teams.set(team, (this.teams.get(team) ?? 0) + 1);
-    this.parts.waits.observe({service}, waitMs / 1000);
-    const end = (): void => {
-      const left = (this.teams.get(team) ?? 1) - 1;
-      if (left === 0) this.teams.delete(team);
-      else this.teams.set(team, left);
+    this.inFlightByTeam.set(team, (this.inFlightByTeam.get(team) ?? 0) + 1);
+    this.parts.waitSeconds.observe({service}, waitMs / 1000);
+    const release = (): void => {
+      const left = (this.inFlightByTeam.get(team) ?? 1) - 1;
+      if (left === 0) this.inFlightByTeam.delete(team);
+      else this.inFlightByTeam.set(team, left);
     };
-    return {endpoint, release: end};
+    return {endpoint, release};
   }
 
-  private refuse(gate: Gate, waiter: QueuedRequest, error: KnownError): void {
-    const waiting = gate.waiting.get(waiter.id);
-    gate.waiting.delete(waiter.id);
+  private refuse(
+    serviceQueue: ServiceQueue,
+    waiter: QueuedRequest,
+    error: KnownError,
+  ): void {
+    const waiting = serviceQueue.waiting.get(waiter.id);
+    serviceQueue.waiting.delete(waiter.id);
     if (waiting === undefined) return;
-    waiting.reply(err(this.count(waiting.entry, error)));
+    waiting.reply(err(this.countRefusal(waiting.entry, error)));
   }
 
-  private count(entry: AdmissionRequest, error: KnownError): KnownError {
+  private countRefusal(entry: AdmissionRequest, error: KnownError): KnownError {
     this.parts.refusals.inc({service: entry.service, kind: error.kind});
     return error;
   }
 
-  private computeRetry(gate: Gate, fallbackMs: number): number {
+  private computeRetrySeconds(
+    serviceQueue: ServiceQueue,
+    fallbackMs: number,
+  ): number {
     const now = this.parts.clock.getNow();
-    const wait = gate.estimate.getWaitMs(gate.queue.size + 1, now);
-    return computeRetryAfterSeconds(wait ?? fallbackMs, this.getSpread());
+    const wait = serviceQueue.estimate.getWaitMs(
+      serviceQueue.queue.size + 1,
+      now,
+    );
+    return computeRetryAfterSeconds(wait ?? fallbackMs, this.getJitter());
   }
 
-  private getSpread(): number {
+  private getJitter(): number {
     return this.parts.random.getInt(100) / 100;
   }
 }
@@ -303,23 +336,23 @@
     const api = new Admission({
       clock: context.clock,
       random: context.random,
-      waits: new Histogram({
+      waitSeconds: new Histogram({
         name: 'irisdock_admission_wait_seconds',
-        help: 'Time that admitted requests waited, by service.',
+        help: 'Queueing time of admitted requests, by service.',
         labelNames: ['service'],
         buckets: WAIT_BUCKETS,
         registers,
       }),
       refusals: new Counter({
         name: 'irisdock_admission_refusals_total',
-        help: 'Requests refused without running, a count, by service and kind.',
+        help: 'Requests refused before they ran, a count, by service and kind.',
         labelNames: ['service', 'kind'],
         registers,
       }),
     });
     new Gauge({
       name: 'irisdock_admission_waiting',
-      help: 'Requests that wait, a count, by service.',
+      help: 'Queued requests, a count, by service.',
       labelNames: ['service'],
       registers,
       collect() {
--- a/packages/daemon/src/services/archive.ts
+++ b/packages/daemon/src/services/archive.ts
@@ -1,10 +1,9 @@
 /**
- * The service `archive`: moves old changes from the table to the object store,
- * so that the table does not grow without end. A batch holds a fixed number
- * of revisions, so that its object's name follows from any of them. One host
- * does it at a time; that two do is harmless, as the row that says how far the
- * archive reaches is changed by compare-and-set in the transaction that
- * deletes the rows.
+ * The service `archive`: moves old changes from the table to the object store
+ * to bound the size of the table. A batch holds a fixed number of revisions, so
+ * the object name can be computed from any of them. Normally one host archives
+ * at a time. Two hosts at once are harmless: the transaction that deletes the
+ * rows also updates the last archived revision by compare-and-set.
  */
 import {
   createService,
@@ -18,7 +17,7 @@
 import {Gauge} from 'prom-client';
 import * as z from 'zod';
 import {
-  ARCHIVE_BATCH,
+  ARCHIVE_BATCH_CHANGES,
   ARCHIVE_KEY,
   createArchiveRowValue,
   getArchiveObjectName,
@@ -42,50 +41,51 @@
   readonly keepChanges: number;
 }
 
-const DUTY = 'archive';
+const ROLE_NAME = 'archive';
 
 /** Moves old changes to the object store. */
 export class Archive {
-  private through = 0;
+  private archivedRevision = 0;
 
   constructor(private readonly parts: ArchiveParts) {}
 
-  /** The last revision that this host knows to be archived. */
+  /** The last archived revision known to this host. */
   get archivedThrough(): number {
-    return this.through;
+    return this.archivedRevision;
   }
 
-  /** Moves one batch when there is one to move. */
+  /** Archives one batch if enough changes have accumulated. */
   async runRound(): Promise<void> {
-    if (!this.isFirst()) return;
+    if (!this.isLeader()) return;
     const {table, keepChanges} = this.parts;
     const rows = await table.readRows([ARCHIVE_KEY, HEAD_KEY]);
     if (rows.isErr()) return;
     const archiveRow = rows.value.find((row) => row.key === ARCHIVE_KEY);
     const headRow = rows.value.find((row) => row.key === HEAD_KEY);
-    this.through = readArchivedRevision(archiveRow);
-    const waiting = readHeadRevision(headRow) - this.through;
-    if (waiting < keepChanges + ARCHIVE_BATCH) return;
-    await this.saveBatch(this.through + 1, archiveRow?.version ?? 0);
+    this.archivedRevision = readArchivedRevision(archiveRow);
+    const unarchivedChanges = readHeadRevision(headRow) - this.archivedRevision;
+    if (unarchivedChanges < keepChanges + ARCHIVE_BATCH_CHANGES) return;
+    await this.saveBatch(this.archivedRevision + 1, archiveRow?.version ?? 0);
   }
 
-  private isFirst(): boolean {
+  private isLeader(): boolean {
     const {membership, host} = this.parts;
     const serving = membership.view.listServing().map((note) => note.hostId);
-    return chooseLeaderCandidates(DUTY, serving, 1).includes(host.hostId);
+    return chooseLeaderCandidates(ROLE_NAME, serving, 1).includes(host.hostId);
   }
 
   private async saveBatch(from: number, version: number): Promise<void> {
     const {table, objects, log} = this.parts;
-    const through = from + ARCHIVE_BATCH - 1;
+    const through = from + ARCHIVE_BATCH_CHANGES - 1;
     const rows = await table.scanRows({
       from: getChangeRowKey(from),
       until: getChangeRowKey(through + 1),
-      limit: ARCHIVE_BATCH,
+      limit: ARCHIVE_BATCH_CHANGES,
     });
-    if (rows.isErr() || rows.value.length !== ARCHIVE_BATCH) return;
+    if (rows.isErr() || rows.value.length !== ARCHIVE_BATCH_CHANGES) return;
     const changes = rows.value.map(readChange);
-    // The object is written first: a crash between the two repeats it.
+    // The object is written before the rows are deleted, so that after a crash
+    // in between the batch is archived again.
     const name = getArchiveObjectName(from);
     const put = await objects.putObject(name, JSON.stringify(changes));
     if (put.isErr()) return;
@@ -97,7 +97,7 @@
       ],
     });
     if (done.isErr() || !done.value.committed) return;
-    this.through = through;
+    this.archivedRevision = through;
     log.writeInfo('Archived changes.', {from, through});
   }
 }
@@ -116,11 +116,12 @@
 const SETTINGS = z.object({
   keepChanges: z.coerce.number().int().min(0).default(20_000).meta({
     unit: 'changes',
-    description: 'Changes that stay in the table; older ones are archived.',
+    description:
+      'Number of changes kept in the table; older ones are archived.',
   }),
   roundMs: z.coerce.number().int().min(50).default(5000).meta({
     unit: 'ms',
-    description: 'The time between two batches.',
+    description: 'Interval between two batches.',
   }),
 });
 
@@ -141,7 +142,7 @@
     });
     new Gauge({
       name: 'irisdock_archive_revision',
-      help: 'The last archived revision that this host knows of, a count.',
+      help: 'The last archived revision known to this host, a count.',
       registers: [context.metrics],
       collect() {
         this.set(api.archivedThrough);
--- a/packages/daemon/src/services/callers.ts
+++ b/packages/daemon/src/services/callers.ts
@@ -1,7 +1,8 @@
 /**
- * The service `callers`: what callers talk to. It also drains this host: it
- * tells the others and the callers that the host is leaving, serves on while
- * old address answers may be in use, and then waits for the last answer.
+ * The service `callers`: serves the API for callers. It also drains this host:
+ * it announces that the host is leaving, keeps serving while callers may still
+ * use its address from earlier address responses, and then waits for the
+ * requests in flight.
  */
 import {
   createService,
@@ -41,33 +42,34 @@
   readonly keepSeconds: number;
 }
 
-const MAX_IDS = 100;
-const DRAIN_CHECK_MS = 50;
-const DRAIN_LOG_MS = 5000;
-// The answer's time varies by a quarter, and clocks and links by a little.
-const KEEP_FACTOR = 1.25;
+const MAX_REQUEST_IDS = 100;
+const DRAIN_CHECK_INTERVAL_MS = 50;
+const DRAIN_LOG_INTERVAL_MS = 5000;
+// The lifetime of an address response is randomized by up to a quarter; the
+// margin covers clock and network differences.
+const MAX_KEEP_FACTOR = 1.25;
 const KEEP_MARGIN_MS = 500;
 
-/** What callers talk to. */
+/** Serves the API for callers and drains the host. */
 export class Callers {
   constructor(private readonly parts: CallersParts) {}
 
-  /** Requests under way. */
+  /** The number of requests in flight. */
   get inFlight(): number {
     return this.parts.streams.inFlight + this.parts.calls.inFlight;
   }
 
-  /** Gives the reason why this host takes no new work, if there is one. */
+  /** Returns the error if this host accepts no new requests. */
   findRefusal(): KnownError | undefined {
-    const right = this.parts.membership.getServingDecision();
-    if (right === 'refuse_no_configuration') {
+    const decision = this.parts.membership.getServingDecision();
+    if (decision === 'refuse_no_configuration') {
       return DAEMON_ERRORS.create('not_configured', {}, 1);
     }
-    if (right !== 'refuse_cut_off') return undefined;
+    if (decision !== 'refuse_cut_off') return undefined;
     return DAEMON_ERRORS.create('cut_off', {}, 1);
   }
 
-  /** Lists what is served. */
+  /** Lists the routes of the API. */
   listRoutes(): Route[] {
     const {host, ownership} = this.parts;
     const parts = {
@@ -106,20 +108,24 @@
     ];
   }
 
-  /** Leaves without cutting a request: see the module's head. */
+  /** Drains this host without interrupting requests, as described above. */
   async drain(): Promise<void> {
     const {membership, clock, log, keepSeconds, listeners} = this.parts;
     membership.startLeaving();
-    log.writeInfo('Leaving.', {inFlight: this.inFlight});
-    await clock.wait(keepSeconds * 1000 * KEEP_FACTOR + KEEP_MARGIN_MS);
+    log.writeInfo('Announced that this host is leaving.', {
+      inFlight: this.inFlight,
+    });
+    await clock.wait(keepSeconds * 1000 * MAX_KEEP_FACTOR + KEEP_MARGIN_MS);
     this.parts.admission.startLeaving();
     listeners.callers.closeIdle();
     let loggedAt = clock.getNow();
     while (this.inFlight > 0) {
-      await clock.wait(DRAIN_CHECK_MS);
-      if (clock.getNow() - loggedAt < DRAIN_LOG_MS) continue;
+      await clock.wait(DRAIN_CHECK_INTERVAL_MS);
+      if (clock.getNow() - loggedAt < DRAIN_LOG_INTERVAL_MS) continue;
       loggedAt = clock.getNow();
-      log.writeInfo('Waiting for the last answers.', {inFlight: this.inFlight});
+      log.writeInfo('Waiting for requests in flight.', {
+        inFlight: this.inFlight,
+      });
     }
     log.writeInfo('Drained.');
   }
@@ -127,21 +133,29 @@
   private sendAddresses(request: WebRequest): void {
     const {membership, ownership, keepSeconds, random} = this.parts;
     const query = request.url.searchParams;
-    const domain = query.get('failureDomain') ?? undefined;
-    const wanted = Number(query.get('ids') ?? 1);
-    const ids = Math.min(MAX_IDS, Math.max(0, Math.floor(wanted) || 0));
+    const requestedDomain = query.get('failureDomain') ?? undefined;
+    const requested = Number(query.get('ids') ?? 1);
+    const ids = Math.min(
+      MAX_REQUEST_IDS,
+      Math.max(0, Math.floor(requested) || 0),
+    );
     const serving = membership.view.listServing();
-    const answer = chooseAddresses(serving, domain, keepSeconds, random);
+    const choice = chooseAddresses(
+      serving,
+      requestedDomain,
+      keepSeconds,
+      random,
+    );
     const createIds = (note: MemberNote | undefined): string[] =>
       note === undefined
         ? []
         : Array.from({length: ids}, () => ownership.createId(note));
-    const addresses = answer.addresses.map(({address, failureDomain}) => ({
+    const addresses = choice.addresses.map(({address, failureDomain}) => ({
       address,
       failureDomain,
       requestIds: createIds(serving.find((m) => m.callerAddress === address)),
     }));
-    const {keepForSeconds} = answer;
+    const {keepForSeconds} = choice;
     sendJson(request.response, 200, {addresses, keepForSeconds});
   }
 
@@ -163,7 +177,7 @@
 const SETTINGS = z.object({
   keepAddressSeconds: z.coerce.number().min(0).default(10).meta({
     unit: 's',
-    description: 'How long callers may keep an address answer, on average.',
+    description: 'Average time that callers may cache an address response.',
   }),
 });
 
--- a/packages/daemon/src/services/configuration.ts
+++ b/packages/daemon/src/services/configuration.ts
@@ -1,6 +1,7 @@
 /**
- * The service `configuration`: what is in force on this host. It only moves
- * forward; others feed it with changes from the table and from other hosts.
+ * The service `configuration`: the configuration that is active on this host.
+ * Its revision never decreases. Other services apply the changes that they
+ * receive from the table and from other hosts.
  */
 import {
   Channel,
@@ -35,12 +36,12 @@
   readonly placementRule: PlacementRuleSpec;
 }
 
-/** What is in force on this host. */
+/** The configuration that is active on this host. */
 export class Configuration {
-  /** Batches of changes as they come into force; empty after a snapshot. */
+  /** Batches of applied changes; an empty batch follows a snapshot. */
   readonly changes: Stream<readonly Change[]>;
   private readonly channel = new Channel<readonly Change[]>();
-  private tableHeardAt = -Infinity;
+  private tableContactAt = -Infinity;
 
   constructor(
     private readonly state: ConfigurationState,
@@ -49,55 +50,55 @@
     this.changes = this.channel.stream;
   }
 
-  /** The revision in force; 0 for none. */
+  /** The active revision; 0 for none. */
   get revision(): number {
     return this.state.revision;
   }
 
-  /** Whether the table's configuration has arrived here at all. */
+  /** Whether any configuration has been received from the table. */
   get isLoaded(): boolean {
-    return this.revision > 0 || this.tableHeardAt > -Infinity;
+    return this.revision > 0 || this.tableContactAt > -Infinity;
   }
 
-  /** Everything in force. */
-  get reader(): ConfigurationState {
+  /** The complete active configuration. */
+  get activeState(): ConfigurationState {
     return this.state;
   }
 
-  /** Milliseconds since the table was heard, directly or by way of others. */
+  /** Milliseconds since the last table contact, direct or via another host. */
   get tableAgeMs(): number {
-    return this.clock.getNow() - this.tableHeardAt;
+    return this.clock.getNow() - this.tableContactAt;
   }
 
-  /** Notes that the table was heard so many milliseconds ago. */
+  /** Records that the table was read `ageMs` milliseconds ago. */
   recordTableContact(ageMs: number): void {
     const at = this.clock.getNow() - ageMs;
-    this.tableHeardAt = Math.max(this.tableHeardAt, at);
+    this.tableContactAt = Math.max(this.tableContactAt, at);
   }
 
-  /** Applies changes in order; true unless one before them is missing. */
+  /** Applies changes in order; returns false if a revision is missing. */
   applyChanges(changes: readonly Change[]): boolean {
     const applied: Change[] = [];
-    let whole = true;
+    let hasNoGap = true;
     for (const change of changes) {
       const outcome = this.state.applyChange(change);
       if (outcome === 'applied') applied.push(change);
       if (outcome !== 'gap') continue;
-      whole = false;
+      hasNoGap = false;
       break;
     }
     if (applied.length > 0) this.channel.post(applied);
-    return whole;
+    return hasNoGap;
   }
 
-  /** Takes a snapshot when it is newer. */
+  /** Applies a snapshot if it is newer than the active revision. */
   applySnapshot(snapshot: Snapshot): void {
     if (this.state.applySnapshot(snapshot) === 'applied') this.channel.post([]);
   }
 
-  /** Finds a resource's spec. */
+  /** Returns the spec of a resource; undefined if it does not exist. */
   findSpec<K extends KindName>(kind: K, name: string): Specs[K] | undefined {
-    // Only specs that passed their kind's schema come into force.
+    // Specs are validated against the schema of their kind when they are put.
     return this.state.get(kind, name)?.spec as Specs[K] | undefined;
   }
 
@@ -132,7 +133,7 @@
     const api = new Configuration(state, context.clock);
     new Gauge({
       name: 'irisdock_configuration_revision',
-      help: 'The revision in force, a count of changes.',
+      help: 'The active configuration revision, a count of changes.',
       registers: [context.metrics],
       collect() {
         this.set(api.revision);
@@ -140,7 +141,7 @@
     });
     new Gauge({
       name: 'irisdock_configuration_table_age_seconds',
-      help: 'Time since the table was heard, directly or by way of others.',
+      help: 'Time since the last table contact, direct or via another host.',
       registers: [context.metrics],
       collect() {
         this.set(api.tableAgeMs / 1000);
@@ -148,7 +149,7 @@
     });
     new Gauge({
       name: 'irisdock_configuration_resources',
-      help: 'Resources in force, a count, by kind.',
+      help: 'Active resources, a count, by kind.',
       labelNames: ['kind'],
       registers: [context.metrics],
       collect() {
--- a/packages/daemon/src/services/configuration_reader.ts
+++ b/packages/daemon/src/services/configuration_reader.ts
@@ -1,7 +1,8 @@
 /**
- * The service `reader`: follows the table's configuration. All hosts together
- * poll at a bounded rate whatever their number, and pass what they read to
- * each other; so the table is read by few and heard by all.
+ * The service `reader`: reads configuration changes from the platform's table.
+ * The total polling rate of all hosts is bounded regardless of their number.
+ * Hosts forward changes to each other, so a change reaches every host without
+ * each of them polling at the full rate.
  */
 import {
   createService,
@@ -25,13 +26,13 @@
 import {MEMBERSHIP} from './membership.js';
 import {PLATFORM} from './platform.js';
 
-const PAGE = 500;
-const MAX_LOADS = 5;
+const PAGE_ROWS = 500;
+const MAX_LOAD_ATTEMPTS = 5;
 
-/** Reads the table into the configuration. */
+/** Reads the table and applies its changes to the configuration. */
 export class ConfigurationReader {
-  private reading: Promise<void> | undefined;
-  private isAway = false;
+  private currentRead: Promise<void> | undefined;
+  private isUnavailable = false;
 
   constructor(
     private readonly table: TableService,
@@ -40,42 +41,48 @@
     private readonly log: Logger,
   ) {}
 
-  /** Reads what is new; calls made meanwhile share the round. */
+  /** Reads new changes; concurrent calls share one read. */
   async readUpdates(): Promise<void> {
-    this.reading ??= this.readOnce().finally(() => {
-      this.reading = undefined;
+    this.currentRead ??= this.readOnce().finally(() => {
+      this.currentRead = undefined;
     });
-    await this.reading;
+    await this.currentRead;
   }
 
   private async readOnce(): Promise<void> {
-    const begunAt = this.now();
+    const startedAt = this.now();
     const head = await this.readHeadRevision();
     if (head === undefined) return;
     const {revision} = this.configuration;
     if (head < revision) {
-      // The platform lost what it had accepted; what is in force stays.
-      this.log.writeError('The table went back.', {head, inForce: revision});
+      // The platform lost accepted changes; the active configuration is kept.
+      this.log.writeError('The table reported an older revision.', {
+        head,
+        inForce: revision,
+      });
       return;
     }
     const caughtUp =
       head === revision ||
       (revision === 0 ? await this.load() : await this.readChanges(head));
-    if (caughtUp) this.configuration.recordTableContact(this.now() - begunAt);
+    if (caughtUp) this.configuration.recordTableContact(this.now() - startedAt);
   }
 
   private async readHeadRevision(): Promise<number | undefined> {
     const rows = await this.table.readRows([HEAD_KEY]);
-    this.reportAway(rows.isErr(), rows.isErr() ? rows.error.message : '');
+    this.reportAvailability(
+      rows.isErr(),
+      rows.isErr() ? rows.error.message : '',
+    );
     return rows.isOk() ? readHeadRevision(rows.value[0]) : undefined;
   }
 
-  /** Logs when the table goes away and comes back, not each time. */
-  private reportAway(isAway: boolean, error: string): void {
-    if (isAway === this.isAway) return;
-    this.isAway = isAway;
-    if (isAway) this.log.writeWarning('Lost the table.', {error});
-    else this.log.writeInfo('The table answers again.');
+  /** Logs only the transitions between available and unavailable. */
+  private reportAvailability(isUnavailable: boolean, error: string): void {
+    if (isUnavailable === this.isUnavailable) return;
+    this.isUnavailable = isUnavailable;
+    if (isUnavailable) this.log.writeWarning('Table unavailable.', {error});
+    else this.log.writeInfo('Table available again.');
   }
 
   private async readChanges(head: number): Promise<boolean> {
@@ -84,7 +91,7 @@
       const rows = await this.table.scanRows({
         from: getChangeRowKey(before + 1),
         until: CHANGE_RANGE_END,
-        limit: PAGE,
+        limit: PAGE_ROWS,
       });
       if (rows.isErr()) return false;
       if (!this.configuration.applyChanges(rows.value.map(readChange))) {
@@ -95,9 +102,12 @@
     return true;
   }
 
-  /** Loads everything; the head must be the same before and after. */
+  /**
+   * Loads all resources as a snapshot. The snapshot is consistent only if the
+   * head revision is the same before and after the read.
+   */
   private async load(): Promise<boolean> {
-    for (let attempt = 0; attempt < MAX_LOADS; attempt++) {
+    for (let attempt = 0; attempt < MAX_LOAD_ATTEMPTS; attempt++) {
       const before = await this.readHeadRevision();
       const resources = await this.readResources();
       const after = await this.readHeadRevision();
@@ -114,11 +124,11 @@
     let {from} = RESOURCE_RANGE;
     for (;;) {
       const {until} = RESOURCE_RANGE;
-      const rows = await this.table.scanRows({from, until, limit: PAGE});
+      const rows = await this.table.scanRows({from, until, limit: PAGE_ROWS});
       if (rows.isErr()) return undefined;
       for (const row of rows.value) resources.push(readResource(row));
       const last: TableRow | undefined = rows.value.at(-1);
-      if (rows.value.length < PAGE || last === undefined) return resources;
+      if (rows.value.length < PAGE_ROWS || last === undefined) return resources;
       from = `${last.key}\u0000`;
     }
   }
@@ -130,11 +140,11 @@
 const SETTINGS = z.object({
   pollMs: z.coerce.number().int().min(50).default(1000).meta({
     unit: 'ms',
-    description: 'The shortest time between two reads of the head row.',
+    description: 'Minimum interval between two reads of the head row.',
   }),
   fleetPollsPerSecond: z.coerce.number().min(1).default(40).meta({
     unit: 'reads/s',
-    description: 'Reads of the head row by all hosts together.',
+    description: 'Maximum rate of head row reads by all hosts together.',
   }),
 });
 
@@ -155,10 +165,10 @@
     const polls = new Repeater(
       (signal) => {
         const {heard} = view.countHosts();
-        const shared = (heard * 1000) / fleetPollsPerSecond;
-        const spread = 0.75 + context.random.getInt(500) / 1000;
-        const ms = Math.max(pollMs, shared) * spread;
-        return context.clock.wait(ms, signal);
+        const sharedPollMs = (heard * 1000) / fleetPollsPerSecond;
+        const jitter = 0.75 + context.random.getInt(500) / 1000;
+        const waitMs = Math.max(pollMs, sharedPollMs) * jitter;
+        return context.clock.wait(waitMs, signal);
       },
       () => api.readUpdates(),
       context.log,
--- a/packages/daemon/src/services/configuration_writer.ts
+++ b/packages/daemon/src/services/configuration_writer.ts
@@ -1,8 +1,9 @@
 /**
- * The service `writer`: accepts changes of configuration. A change is one
- * transaction over the head row, the resource, the change's own row and a row
- * for its operation id; by the last, a change whose answer was lost is
- * recognised and never made twice. docs/design/configuration.md.
+ * The service `writer`: accepts configuration changes. Each change is one
+ * transaction over the head row, the resource's row, the change's own row and a
+ * row for its operation id. The operation row identifies a retried change whose
+ * response was lost, so that it is applied only once.
+ * docs/design/configuration.md.
  */
 import {
   createService,
@@ -54,7 +55,7 @@
   readonly random: Random;
   readonly log: Logger;
   readonly maxMs: number;
-  readonly accepted: Counter;
+  readonly acceptedChanges: Counter;
 }
 
 interface ChangeMessage {
@@ -62,22 +63,23 @@
   readonly sendReply: (result: Result<Change, KnownError>) => void;
 }
 
-/** What one attempt came to. */
-type Attempt =
+/** The result of one attempt to commit a change. */
+type AttemptResult =
   | {readonly outcome: 'accepted'; readonly change: Change}
   | {readonly outcome: 'again'; readonly error?: PlatformError}
   | {readonly outcome: 'refused'; readonly error: KnownError};
 
-interface ReadRows {
+/** The rows that a change depends on; undefined for an absent row. */
+interface ChangeRows {
   readonly head: TableRow | undefined;
   readonly resource: TableRow | undefined;
   readonly operation: TableRow | undefined;
 }
 
-const FIRST_BACKOFF_MS = 20;
+const INITIAL_BACKOFF_MS = 20;
 const MAX_BACKOFF_MS = 500;
 
-/** Accepts changes, one at a time on this host. */
+/** Accepts configuration changes, one at a time on this host. */
 export class ConfigurationWriter {
   private readonly task: Task<ChangeMessage>;
 
@@ -91,14 +93,14 @@
     );
   }
 
-  /** Accepts a change, or says why not. */
+  /** Queues a change; resolves to the accepted change or to the error. */
   async submit(request: ChangeRequest): Promise<Result<Change, KnownError>> {
     return new Promise((sendReply) => {
       this.task.post({request, sendReply});
     });
   }
 
-  /** Ends after the changes that were submitted. */
+  /** Stops after all submitted changes are processed. */
   async stop(): Promise<void> {
     await this.task.stop();
   }
@@ -107,21 +109,21 @@
     request: ChangeRequest,
   ): Promise<Result<Change, KnownError>> {
     const {clock, maxMs, log} = this.parts;
-    const endAt = clock.getNow() + maxMs;
-    let backoff = FIRST_BACKOFF_MS;
+    const deadlineAt = clock.getNow() + maxMs;
+    let backoffMs = INITIAL_BACKOFF_MS;
     let mayBeAccepted = false;
     let detail = 'too many changes at once';
-    while (clock.getNow() < endAt) {
-      const attempt = await this.tryOnce(request);
+    while (clock.getNow() < deadlineAt) {
+      const attempt = await this.tryChange(request);
       if (attempt.outcome === 'accepted') {
         return ok(this.finish(attempt.change));
       }
       if (attempt.outcome === 'refused') return err(attempt.error);
       if (attempt.error?.outcome === 'unknown') mayBeAccepted = true;
       detail = attempt.error?.message ?? detail;
-      log.writeDebug('A change is tried again.', {detail});
-      await clock.wait(backoff * (0.5 + this.parts.random.getInt(100) / 100));
-      backoff = Math.min(MAX_BACKOFF_MS, backoff * 2);
+      log.writeDebug('Retrying a change.', {detail});
+      await clock.wait(backoffMs * (0.5 + this.parts.random.getInt(100) / 100));
+      backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
     }
     const {operationId} = request;
     return err(
@@ -132,9 +134,9 @@
   }
 
   private finish(change: Change): Change {
-    const {configuration, log, accepted} = this.parts;
+    const {configuration, log, acceptedChanges} = this.parts;
     configuration.applyChanges([change]);
-    accepted.inc({kind: change.kind, action: change.action});
+    acceptedChanges.inc({kind: change.kind, action: change.action});
     log.writeInfo('Accepted a change.', {
       revision: change.revision,
       actor: change.actor,
@@ -145,8 +147,8 @@
     return change;
   }
 
-  private async tryOnce(request: ChangeRequest): Promise<Attempt> {
-    if (!this.parts.membership.isChangeAllowed()) return this.refuseMinority();
+  private async tryChange(request: ChangeRequest): Promise<AttemptResult> {
+    if (!this.parts.membership.isChangeAllowed()) return this.refuseChange();
     const rows = await this.readRows(request);
     if (rows.isErr()) return {outcome: 'again', error: rows.error};
     const {head, operation} = rows.value;
@@ -166,7 +168,7 @@
     return {outcome: 'accepted', change};
   }
 
-  private refuseMinority(): Attempt {
+  private refuseChange(): AttemptResult {
     const {heard, known} = this.parts.membership.view.countHosts();
     const error = DAEMON_ERRORS.create('no_majority', {heard, known}, 2);
     return {outcome: 'refused', error};
@@ -174,7 +176,7 @@
 
   private async readRows(
     request: ChangeRequest,
-  ): Promise<Result<ReadRows, PlatformError>> {
+  ): Promise<Result<ChangeRows, PlatformError>> {
     const resourceKey = getResourceRowKey(request.kind, request.name);
     const operationKey = getOperationRowKey(request.operationId);
     const keys = [HEAD_KEY, resourceKey, operationKey];
@@ -186,8 +188,8 @@
     }));
   }
 
-  /** An operation that was accepted before; its change is its answer. */
-  private async findAccepted(operation: TableRow): Promise<Attempt> {
+  /** Returns the change that an earlier attempt of the operation committed. */
+  private async findAccepted(operation: TableRow): Promise<AttemptResult> {
     const {revision} = HEAD_SCHEMA.parse(JSON.parse(operation.value));
     const rows = await this.parts.table.readRows([getChangeRowKey(revision)]);
     if (rows.isErr()) return {outcome: 'again', error: rows.error};
@@ -203,7 +205,7 @@
     if (configuration.revision < revision) await reader.readUpdates();
   }
 
-  /** Checks a change against what is there; gives the present version. */
+  /** Validates a change against the current state; returns the version. */
   private check(
     request: ChangeRequest,
     row: TableRow | undefined,
@@ -214,14 +216,14 @@
       const data = {kind, name, current, expected};
       return err(DAEMON_ERRORS.create('version_conflict', data));
     }
-    const {reader} = this.parts.configuration;
+    const {activeState} = this.parts.configuration;
     if (action === 'put') {
-      return checkPut(reader, kind, name, spec).map(() => current);
+      return checkPut(activeState, kind, name, spec).map(() => current);
     }
     if (current === 0) {
       return err(DAEMON_ERRORS.create('no_such_resource', {kind, name}));
     }
-    return checkDelete(reader, kind, name).map(() => current);
+    return checkDelete(activeState, kind, name).map(() => current);
   }
 
   private createChange(
@@ -253,7 +255,7 @@
 const SETTINGS = z.object({
   maxMs: z.coerce.number().int().min(100).default(8000).meta({
     unit: 'ms',
-    description: 'How long a change is tried before its sender is told.',
+    description: 'How long a change is retried before an error is returned.',
   }),
 });
 
@@ -272,7 +274,7 @@
       random: context.random,
       log: context.log,
       maxMs: settings.maxMs,
-      accepted: new Counter({
+      acceptedChanges: new Counter({
         name: 'irisdock_writer_changes_total',
         help: 'Changes accepted by this host, a count, by kind and action.',
         labelNames: ['kind', 'action'],
@@ -283,10 +285,10 @@
   },
 });
 
-function createTransaction(change: Change, rows: ReadRows): Transaction {
+function createTransaction(change: Change, rows: ChangeRows): Transaction {
   const {revision, kind, name, spec, toVersion: version} = change;
   const resource = JSON.stringify({kind, name, version, spec});
-  const text = JSON.stringify(change);
+  const changeText = JSON.stringify(change);
   const revisionText = JSON.stringify({revision});
   const operationKey = getOperationRowKey(change.operationId);
   return {
@@ -300,7 +302,7 @@
         key: getResourceRowKey(kind, name),
         value: change.action === 'put' ? resource : null,
       },
-      {key: getChangeRowKey(revision), value: text},
+      {key: getChangeRowKey(revision), value: changeText},
       {key: operationKey, value: revisionText},
     ],
   };
--- a/packages/daemon/src/services/endpoint_directory.ts
+++ b/packages/daemon/src/services/endpoint_directory.ts
@@ -1,6 +1,6 @@
 /**
- * The service `endpoints`: the endpoints this host uses, how they fare, and
- * which prompt prefixes they probably hold.
+ * The service `endpoints`: tracks the endpoints that this host uses, their
+ * health and load, and the prompt prefixes that they probably have cached.
  */
 import {
   Channel,
@@ -32,19 +32,19 @@
   readonly clock: Clock;
   readonly log: Logger;
   readonly subsetSize: number;
-  readonly lost: Counter;
-  readonly quiet: Counter;
+  readonly losses: Counter;
+  readonly stalls: Counter;
 }
 
 /** The endpoints that this host uses. */
 export class EndpointDirectory {
   readonly prefixes: PrefixIndex;
-  /** Names of services whose endpoints may have room now. */
+  /** Names of services whose endpoints may have free capacity now. */
   readonly capacityUpdates: Stream<string>;
-  private readonly roomChannel = new Channel<string>();
+  private readonly capacityChannel = new Channel<string>();
   private readonly records = new Map<string, EndpointRecord>();
   private readonly gaps = new Map<string, ServiceGaps>();
-  private list: readonly ListedHost[] = [];
+  private hostList: readonly ListedHost[] = [];
 
   constructor(
     private readonly parts: DirectoryParts,
@@ -52,15 +52,15 @@
     maxBlocks: number,
   ) {
     this.prefixes = new PrefixIndex(maxBlocks);
-    this.capacityUpdates = this.roomChannel.stream;
+    this.capacityUpdates = this.capacityChannel.stream;
   }
 
-  /** Gives all endpoints in use. */
+  /** Lists all endpoints in use. */
   listAll(): EndpointRecord[] {
     return [...this.records.values()];
   }
 
-  /** Gives a service's endpoints that may get new work. */
+  /** Lists the endpoints of a service that may receive new requests. */
   listUsable(service: string): EndpointRecord[] {
     const usable: EndpointRecord[] = [];
     for (const record of this.records.values()) {
@@ -75,55 +75,55 @@
   }
 
   /**
-   * Finds an endpoint by its address, also outside this host's subset: it is
-   * then opened for the answer that runs there, and gets no new work.
+   * Finds an endpoint by its address. An endpoint outside this host's subset is
+   * opened for the response that runs there, and receives no new requests.
    */
   open(address: string, service: string): EndpointRecord | undefined {
     const known = this.records.get(address);
     if (known !== undefined) return known;
-    const isHere = (host: ListedHost): boolean =>
+    const isListed = (host: ListedHost): boolean =>
       host.address === address && host.service === service;
-    const listed = this.list.find(isHere);
+    const listed = this.hostList.find(isListed);
     if (listed === undefined) return undefined;
     const record = this.createRecord(listed);
     if (record === undefined) return undefined;
     record.isLeaving = true;
-    // The next list finds it outside the subset and removes it once idle.
+    // `applyHostList` removes it once it is idle, as it is not in the subset.
     this.records.set(address, record);
     return record;
   }
 
-  /** Takes the host list: adds, marks as leaving, removes. */
-  applyList(list: readonly ListedHost[]): void {
-    this.list = list;
-    const chosen = this.chooseListed();
-    for (const host of chosen.values()) this.applyListed(host);
+  /** Applies the host list: adds, marks as leaving and removes endpoints. */
+  applyHostList(list: readonly ListedHost[]): void {
+    this.hostList = list;
+    const chosen = this.chooseListedEndpoints();
+    for (const host of chosen.values()) this.applyListedEndpoint(host);
     for (const record of this.records.values()) {
       if (!chosen.has(record.address)) this.remove(record);
     }
   }
 
-  /** Takes the last list again, as services may have come or gone. */
+  /** Applies the last host list again after services were added or removed. */
   applyConfiguration(): void {
-    if (this.list.length > 0) this.applyList(this.list);
+    if (this.hostList.length > 0) this.applyHostList(this.hostList);
   }
 
-  /** Notes that a request saw an endpoint lost. */
+  /** Handles an endpoint failure that a request detected. */
   reportLost(record: EndpointRecord, kind: string): void {
     if (!record.markLost()) return;
     this.publishLost(record, kind);
     this.poller.poll(record);
   }
 
-  /** Notes that a stream is silent at an endpoint that answers. */
+  /** Handles a stream that stalled although its endpoint responds. */
   reportStall(record: EndpointRecord): void {
     record.markQuiet();
     const {address: endpoint, service} = record;
-    this.parts.quiet.inc({service});
+    this.parts.stalls.inc({service});
     this.parts.links.sendHint({endpoint, sign: 'quiet'});
   }
 
-  /** Takes a hint that another host gave. */
+  /** Applies an endpoint hint from another host. */
   applyHint(hint: EndpointHint): void {
     const record = this.records.get(hint.endpoint);
     if (record === undefined) return;
@@ -135,29 +135,33 @@
     this.poller.poll(record);
   }
 
-  /** Tells the log and the other hosts of an endpoint that was lost. */
+  /** Logs a lost endpoint and announces it to the other hosts. */
   publishLost(record: EndpointRecord, kind: string): void {
     const {address, service} = record;
-    this.parts.lost.inc({service});
-    this.parts.log.writeWarning('Lost an endpoint.', {endpoint: address, kind});
+    this.parts.losses.inc({service});
+    this.parts.log.writeWarning('Marked an endpoint as lost.', {
+      endpoint: address,
+      kind,
+    });
     this.prefixes.dropEndpoint(address);
     this.parts.links.sendHint({endpoint: address, sign: 'lost'});
   }
 
-  /** Looks at an endpoint at once. */
+  /** Polls an endpoint immediately. */
   poll(address: string): void {
     const record = this.records.get(address);
     if (record !== undefined) this.poller.poll(record);
   }
 
-  /** Takes a load report that another host got. */
+  /** Applies a load report that another host received. */
   applyLoad(hint: LoadHint): void {
     const record = this.records.get(hint.endpoint);
-    // One that does not answer this host is not believed to by another's word.
+    // A report via another host does not make an endpoint available here: this
+    // host must reach it itself.
     if (record?.isAnswering === true) record.applyReport(hint);
   }
 
-  /** Stops looking and closes all connections. */
+  /** Stops polling and closes all connections. */
   async close(): Promise<void> {
     for (const record of this.records.values()) {
       this.poller.remove(record);
@@ -165,9 +169,9 @@
     }
   }
 
-  private chooseListed(): Map<string, ListedHost> {
+  private chooseListedEndpoints(): Map<string, ListedHost> {
     const byService = new Map<string, ListedHost[]>();
-    for (const host of this.list) {
+    for (const host of this.hostList) {
       if (host.role !== 'endpoint' || host.service === undefined) continue;
       const hosts = byService.get(host.service) ?? [];
       byService.set(host.service, hosts);
@@ -183,7 +187,7 @@
     return chosen;
   }
 
-  private applyListed(host: ListedHost): void {
+  private applyListedEndpoint(host: ListedHost): void {
     const known = this.records.get(host.address);
     if (known !== undefined && known.service === host.service) {
       known.isLeaving = host.state === 'leaving';
@@ -214,7 +218,7 @@
       this.getGaps(service),
       clock,
       (name) => {
-        this.roomChannel.post(name);
+        this.capacityChannel.post(name);
       },
     );
   }
@@ -225,7 +229,7 @@
     return gaps;
   }
 
-  /** Takes an endpoint out; what runs there goes on to its end. */
+  /** Removes an endpoint once it is idle; running requests complete first. */
   private remove(record: EndpointRecord): void {
     record.isLeaving = true;
     this.poller.remove(record);
@@ -239,7 +243,7 @@
 /** The key of the service. */
 export const ENDPOINTS = createServiceKey<EndpointDirectory>('endpoints');
 
-const SHARE_MS = 1000;
+const LOAD_SHARE_MS = 1000;
 
 /** Declares the service. */
 export const ENDPOINTS_SERVICE = createService({
@@ -249,7 +253,7 @@
   create(context, settings) {
     const configuration = context.find(CONFIGURATION);
     const links = context.find(PEER_LINKS);
-    const sharer = new LoadSharer(SHARE_MS, context.clock, (loads) => {
+    const sharer = new LoadSharer(LOAD_SHARE_MS, context.clock, (loads) => {
       links.sendLoads(loads);
     });
     const poller = new EndpointPoller(settings, context.random, {
@@ -274,15 +278,15 @@
         clock: context.clock,
         log: context.log,
         subsetSize: settings.subsetSize,
-        quiet: new Counter({
+        stalls: new Counter({
           name: 'irisdock_endpoints_quiet_total',
-          help: 'Silences of streams at endpoints that answer, a count, by service.',
+          help: 'Stream stalls at responsive endpoints, a count, by service.',
           labelNames: ['service'],
           registers: [context.metrics],
         }),
-        lost: new Counter({
+        losses: new Counter({
           name: 'irisdock_endpoints_lost_total',
-          help: 'Endpoints seen lost by this host, a count, by service.',
+          help: 'Endpoint losses detected by this host, a count, by service.',
           labelNames: ['service'],
           registers: [context.metrics],
         }),
@@ -295,9 +299,9 @@
       api,
       start() {
         void context.find(HOST_LIST).lists.observe((list) => {
-          api.applyList(list);
+          api.applyHostList(list);
         });
-        readNews(api, configuration, links);
+        watchUpdates(api, configuration, links);
         return Promise.resolve();
       },
       stop() {
@@ -311,7 +315,7 @@
 function createGauge(directory: EndpointDirectory, registry: Registry): void {
   new Gauge({
     name: 'irisdock_endpoints_known',
-    help: 'Endpoints in use, a count, by service and whether they answer.',
+    help: 'Endpoints in use, a count, by service and whether they respond.',
     labelNames: ['service', 'answering'],
     registers: [registry],
     collect() {
@@ -324,8 +328,8 @@
   });
 }
 
-/** Follows what concerns endpoints: services that change, others' word. */
-function readNews(
+/** Subscribes to configuration changes and to reports from other hosts. */
+function watchUpdates(
   directory: EndpointDirectory,
   configuration: Configuration,
   links: PeerLinks,
--- a/packages/daemon/src/services/host.ts
+++ b/packages/daemon/src/services/host.ts
@@ -1,13 +1,13 @@
-/** The service `host`: who this host is, and the key that it signs with. */
+/** The service `host`: the identity of this host and its signing key. */
 import {createService, createServiceKey, type Random} from '@irisdock/kernel';
 import {Signer} from '@irisdock/decisions';
 import * as z from 'zod';
 import {LISTENERS} from './listeners.js';
 
-/** This host. */
+/** The identity, addresses and signer of this host. */
 export interface Host {
   readonly hostId: string;
-  /** Higher, by its text, after each start. */
+  /** Identifies one start of this host; increases in string order. */
   readonly incarnation: string;
   readonly failureDomain: string;
   readonly callerAddress: string;
@@ -27,7 +27,7 @@
     .default('')
     .meta({
       unit: 'name',
-      description: 'The name of the host; empty for its caller address.',
+      description: 'The name of the host; defaults to its caller address.',
     }),
   failureDomain: z
     .string()
@@ -36,7 +36,7 @@
   clusterKey: z.string().min(MIN_KEY_CHARS).meta({
     unit: 'secret',
     description:
-      'Signs what callers carry; the same on all hosts, 16 letters or more.',
+      'Signs request ids and resume data; equal on all hosts, 16+ characters.',
   }),
 });
 
@@ -50,25 +50,27 @@
   settings: SETTINGS,
   needs: [LISTENERS],
   create(context, settings) {
-    const {addresses: places} = context.find(LISTENERS);
+    const {addresses} = context.find(LISTENERS);
     const api: Host = {
-      hostId: settings.id || places.caller,
+      hostId: settings.id || addresses.caller,
       incarnation: createIncarnation(
         context.clock.getWallNow(),
         context.random,
       ),
       failureDomain: settings.failureDomain,
-      callerAddress: places.caller,
-      peerAddress: places.peer,
+      callerAddress: addresses.caller,
+      peerAddress: addresses.peer,
       signer: new Signer(settings.clusterKey),
     };
     return {api};
   },
 });
 
-/** Builds an incarnation from the time of the start. */
+/** Creates an incarnation from the start time and a random suffix. */
 export function createIncarnation(wallNow: number, random: Random): string {
-  const time = Math.floor(wallNow).toString(RADIX).padStart(TIME_CHARS, '0');
-  const noise = random.getInt(RADIX ** RANDOM_CHARS).toString(RADIX);
-  return time + noise.padStart(RANDOM_CHARS, '0');
+  const timePart = Math.floor(wallNow)
+    .toString(RADIX)
+    .padStart(TIME_CHARS, '0');
+  const randomPart = random.getInt(RADIX ** RANDOM_CHARS).toString(RADIX);
+  return timePart + randomPart.padStart(RANDOM_CHARS, '0');
 }
--- a/packages/daemon/src/services/host_list.ts
+++ b/packages/daemon/src/services/host_list.ts
@@ -1,6 +1,7 @@
 /**
- * The service `hostlist`: follows the platform's lagging list of hosts and
- * gives it to whoever asks. When the list cannot be read, the last one stays.
+ * The service `hostlist`: polls the platform's host list, which lags behind the
+ * actual state, and publishes it to other services. When the list cannot be
+ * read, the last one stays in use.
  */
 import {
   Channel,
@@ -15,9 +16,9 @@
 import {MEMBERSHIP} from './membership.js';
 import {PLATFORM} from './platform.js';
 
-/** The endpoints of the host list. */
+/** Publishes the endpoints of the host list. */
 export interface HostListFeed {
-  /** Them each time that the list was read. */
+  /** The endpoints after each successful read of the list. */
   readonly lists: Stream<readonly ListedHost[]>;
 }
 
@@ -27,11 +28,12 @@
 const SETTINGS = z.object({
   pollMs: z.coerce.number().int().min(50).default(1000).meta({
     unit: 'ms',
-    description: 'The time between two reads of the host list.',
+    description: 'Interval between two reads of the host list.',
   }),
   leavingHoldMs: z.coerce.number().int().min(0).default(5000).meta({
     unit: 'ms',
-    description: 'How long an endpoint seen leaving counts as leaving.',
+    description:
+      'How long an endpoint counts as leaving after it was last listed so.',
   }),
 });
 
@@ -43,31 +45,36 @@
   create(context, settings) {
     const membership = context.find(MEMBERSHIP);
     const {hosts} = context.find(PLATFORM);
-    const channel = new Channel<readonly ListedHost[]>();
-    // A host that came back at its address speaks for itself at once.
-    const entries = new LeavingHoldDown<ListedHost>(0);
-    const endpoints = new LeavingHoldDown<ListedHost>(settings.leavingHoldMs);
+    const listChannel = new Channel<readonly ListedHost[]>();
+    // No hold-down for entry hosts: one that restarts at its address announces
+    // itself immediately.
+    const entryHosts = new LeavingHoldDown<ListedHost>(0);
+    const endpointHosts = new LeavingHoldDown<ListedHost>(
+      settings.leavingHoldMs,
+    );
     const polls = new Repeater(
       (signal) => context.clock.wait(settings.pollMs, signal),
       async () => {
         const list = await hosts.listHosts();
         if (list.isErr()) {
-          context.log.writeDebug('The list was not read.', {
+          context.log.writeDebug('Reading the host list failed.', {
             error: list.error.message,
           });
           return;
         }
         const now = context.clock.getNow();
         const {entry, endpoint} = splitByRole(list.value);
-        membership.applyHostList(getStates(entries.apply(entry, now)));
-        channel.post(endpoints.apply(endpoint, now));
+        membership.applyHostList(
+          getStatesByAddress(entryHosts.apply(entry, now)),
+        );
+        listChannel.post(endpointHosts.apply(endpoint, now));
       },
       context.log,
     );
     return {
-      api: {lists: channel.stream},
+      api: {lists: listChannel.stream},
       start() {
-        // The services that need the list observe it before its first read.
+        // Deferred so that other services subscribe before the first read.
         setImmediate(() => {
           polls.start();
         });
@@ -89,7 +96,7 @@
   return hosts;
 }
 
-function getStates(
+function getStatesByAddress(
   hosts: readonly ListedHost[],
 ): Map<string, ListedHost['state']> {
   return new Map(hosts.map((host) => [host.address, host.state]));
--- a/packages/daemon/src/services/listeners.ts
+++ b/packages/daemon/src/services/listeners.ts
@@ -1,7 +1,7 @@
 /**
  * The service `listen`: owns the three listening sockets, for callers,
- * operators and other hosts. It starts first, so that all places are known;
- * the services that answer set their routes later.
+ * operators and other hosts. It starts first, so that all addresses are known
+ * to the other services, which set their routes and handlers later.
  */
 import {
   createService,
@@ -12,12 +12,12 @@
 import {WebServer} from '@irisdock/web';
 import * as z from 'zod';
 
-/** The sockets and the places they took. */
+/** The listening sockets and their advertised addresses. */
 export interface Listeners {
   readonly callers: WebServer;
   readonly operators: WebServer;
   readonly peers: PeerServer;
-  /** The places that others are told; set once started. */
+  /** The advertised addresses; empty until started. */
   readonly addresses: {caller: string; operator: string; peer: string};
 }
 
@@ -29,23 +29,25 @@
 const SETTINGS = z.object({
   callers: IP_PORT_SCHEMA.default('127.0.0.1:8080').meta({
     unit: 'ip:port',
-    description: 'Where callers connect.',
+    description: 'Listening address for callers.',
   }),
   callersAdvertise: ADVERTISE_SCHEMA.meta({
     unit: 'ip:port',
-    description: 'What callers are told to connect to; empty for the same.',
+    description:
+      'Address advertised to callers; defaults to the listening address.',
   }),
   operators: IP_PORT_SCHEMA.default('127.0.0.1:8090').meta({
     unit: 'ip:port',
-    description: 'Where operators connect: resources, status, metrics.',
+    description: 'Listening address for operators: resources, status, metrics.',
   }),
   peers: IP_PORT_SCHEMA.default('127.0.0.1:8100').meta({
     unit: 'ip:port',
-    description: 'Where other hosts connect.',
+    description: 'Listening address for other hosts.',
   }),
   peersAdvertise: ADVERTISE_SCHEMA.meta({
     unit: 'ip:port',
-    description: 'What other hosts are told to connect to; empty for the same.',
+    description:
+      'Address advertised to hosts; defaults to the listening address.',
   }),
   maxBodyBytes: z.coerce
     .number()
@@ -53,10 +55,10 @@
     .min(1024)
     .max(64 * 1024 * 1024)
     .default(4 * 1024 * 1024)
-    .meta({unit: 'bytes', description: 'The largest body of a request.'}),
+    .meta({unit: 'bytes', description: 'Maximum size of a request body.'}),
   maxBodyMs: z.coerce.number().int().min(100).default(10_000).meta({
     unit: 'ms',
-    description: 'The longest that a body may take to arrive.',
+    description: 'Maximum time to receive a request body.',
   }),
 });
 
@@ -78,13 +80,13 @@
     return {
       api,
       async start() {
-        const {addresses: places} = api;
+        const {addresses} = api;
         const caller = await api.callers.start();
         const peer = await api.peers.start();
-        places.operator = await api.operators.start();
-        places.caller = settings.callersAdvertise || caller;
-        places.peer = settings.peersAdvertise || peer;
-        context.log.writeInfo('Listening.', {...places});
+        addresses.operator = await api.operators.start();
+        addresses.caller = settings.callersAdvertise || caller;
+        addresses.peer = settings.peersAdvertise || peer;
+        context.log.writeInfo('Listening.', {...addresses});
       },
       async stop() {
         await api.callers.stop();
--- a/packages/daemon/src/services/membership.ts
+++ b/packages/daemon/src/services/membership.ts
@@ -1,6 +1,7 @@
 /**
- * The service `membership`: the hosts of the deployment as this one sees
- * them, and whether it may serve with what it has in force.
+ * The service `membership`: this host's view of the hosts of the deployment.
+ * From its contact with them and with the table it decides whether this host
+ * may serve callers and accept configuration changes.
  */
 import {
   Channel,
@@ -24,9 +25,9 @@
 import {CONFIGURATION, type Configuration} from './configuration.js';
 import {HOST} from './host.js';
 
-/** The hosts as this one sees them. */
+/** Maintains the membership view of this host and publishes its updates. */
 export class Membership {
-  /** Notes that are news here and to be passed on. */
+  /** Member notes that are new to this host, to be forwarded to others. */
   readonly updates: Stream<readonly MemberNote[]>;
   private readonly channel = new Channel<readonly MemberNote[]>();
 
@@ -39,47 +40,47 @@
     this.updates = this.channel.stream;
   }
 
-  /** Whether this host is leaving. */
+  /** Whether this host has announced that it is leaving. */
   get isLeaving(): boolean {
     return this.view.self.state === 'leaving';
   }
 
-  /** Takes notes from another host. */
+  /** Applies member notes from another host. */
   applyNotes(notes: readonly MemberNote[]): void {
     this.post(this.view.applyNotes(notes, this.clock.getNow()));
   }
 
-  /** Takes the entry hosts of the host list. */
+  /** Applies the entry hosts of the host list, by peer address. */
   applyHostList(peers: ReadonlyMap<string, 'leaving' | 'live'>): void {
     this.post(this.view.applyHostList(peers, this.clock.getNow()));
   }
 
-  /** Takes it that a host's address refused a connection. */
+  /** Records that a host's peer address refused a connection. */
   recordConnectionRefused(hostId: string): void {
     this.post(this.view.recordConnectionRefused(hostId, this.clock.getNow()));
   }
 
-  /** Moves on with time. */
+  /** Applies the state changes whose timeouts have expired. */
   applyTimeouts(): void {
     this.post(this.view.applyTimeouts(this.clock.getNow()));
   }
 
-  /** Tells the others that this host is leaving. */
+  /** Announces to the other hosts that this one is leaving. */
   startLeaving(): void {
     this.post([this.view.updateSelf({state: 'leaving'})]);
   }
 
-  /** Decides whether this host may take new work. */
+  /** Decides whether this host may accept new requests. */
   getServingDecision(): ServingDecision {
-    return decideServing(this.getContact());
+    return decideServing(this.getContactState());
   }
 
-  /** Decides whether this host may accept changes. */
+  /** Decides whether this host may accept configuration changes. */
   isChangeAllowed(): boolean {
-    return isChangeAllowed(this.getContact());
+    return isChangeAllowed(this.getContactState());
   }
 
-  private getContact(): ContactState {
+  private getContactState(): ContactState {
     const {heard, known} = this.view.countHosts();
     return {
       configured: this.configuration.isLoaded,
@@ -90,15 +91,15 @@
     };
   }
 
-  private post(news: readonly MemberNote[]): void {
-    if (news.length > 0) this.channel.post(news);
+  private post(notes: readonly MemberNote[]): void {
+    if (notes.length > 0) this.channel.post(notes);
   }
 }
 
 /** The key of the service. */
 export const MEMBERSHIP = createServiceKey<Membership>('membership');
 
-const TICK_MS = 250;
+const TIMEOUT_CHECK_INTERVAL_MS = 250;
 
 const SETTINGS = z.object({
   suspectAfterMs: z.coerce
@@ -108,7 +109,8 @@
     .default(DEFAULT_MEMBERSHIP_TIMEOUTS.suspectAfterMs)
     .meta({
       unit: 'ms',
-      description: 'Silence after which a host gets no more callers.',
+      description:
+        'Time without a heartbeat after which a host gets no new callers.',
     }),
   deadAfterMs: z.coerce
     .number()
@@ -117,7 +119,7 @@
     .default(DEFAULT_MEMBERSHIP_TIMEOUTS.deadAfterMs)
     .meta({
       unit: 'ms',
-      description: 'Suspicion after which a host counts as dead.',
+      description: 'Time in state suspect after which a host counts as dead.',
     }),
   goneAfterMs: z.coerce
     .number()
@@ -126,11 +128,11 @@
     .default(DEFAULT_MEMBERSHIP_TIMEOUTS.goneAfterMs)
     .meta({
       unit: 'ms',
-      description: 'The same for one whose address refuses connections.',
+      description: 'The same for a host whose address refuses connections.',
     }),
   maxTableAgeMs: z.coerce.number().int().min(500).default(8000).meta({
     unit: 'ms',
-    description: 'How old the word of the table may be before a host stops.',
+    description: 'Table contact age beyond which serving requires a majority.',
   }),
 });
 
@@ -152,16 +154,16 @@
       failureDomain,
       revision: 0,
     };
-    const times = {...DEFAULT_MEMBERSHIP_TIMEOUTS, ...settings};
+    const timeouts = {...DEFAULT_MEMBERSHIP_TIMEOUTS, ...settings};
     const api = new Membership(
-      new MembershipView(own, times),
+      new MembershipView(own, timeouts),
       context.find(CONFIGURATION),
       context.clock,
       settings.maxTableAgeMs,
     );
     new Gauge({
       name: 'irisdock_membership_hosts',
-      help: 'Hosts as this one sees them, a count, by state.',
+      help: 'Hosts in the view of this host, a count, by state.',
       labelNames: ['state'],
       registers: [context.metrics],
       collect() {
@@ -170,7 +172,7 @@
       },
     });
     const ticks = new Repeater(
-      (signal) => context.clock.wait(TICK_MS, signal),
+      (signal) => context.clock.wait(TIMEOUT_CHECK_INTERVAL_MS, signal),
       () => {
         api.applyTimeouts();
         return Promise.resolve();
--- a/packages/daemon/src/services/operators.ts
+++ b/packages/daemon/src/services/operators.ts
@@ -1,6 +1,6 @@
 /**
- * The service `operators`: what operators and their tools talk to: resources
- * and watches, audit, status, metrics, liveness and readiness.
+ * The service `operators`: serves the API for operators and their tools:
+ * resources, watches, audit log, status, metrics, liveness and readiness.
  */
 import {createService, createServiceKey} from '@irisdock/kernel';
 import {sendJson, type Route, type WebRequest} from '@irisdock/web';
@@ -53,22 +53,24 @@
     };
     const resources = new ResourceRoutes(configuration, context.find(WRITER));
     const callers = context.find(CALLERS);
-    const createGet = (path: string, handle: Route['handle']): Route => ({
+    const createGetRoute = (path: string, handle: Route['handle']): Route => ({
       method: 'GET',
       path,
       handle,
     });
     const routes: Route[] = [
       ...resources.listRoutes(),
-      createGet('/v1/audit', (request) => sendAudit(request, platform)),
-      createGet('/v1/status', (request) => {
+      createGetRoute('/v1/audit', (request) => sendAudit(request, platform)),
+      createGetRoute('/v1/status', (request) => {
         sendStatus(request, status);
       }),
-      createGet('/metrics', (request) => sendMetrics(request, context.metrics)),
-      createGet('/livez', (request) => {
+      createGetRoute('/metrics', (request) =>
+        sendMetrics(request, context.metrics),
+      ),
+      createGetRoute('/livez', (request) => {
         sendJson(request.response, 200, {live: true});
       }),
-      createGet('/readyz', (request) => {
+      createGetRoute('/readyz', (request) => {
         sendReadiness(request, callers, membership.isLeaving);
       }),
     ];
@@ -95,10 +97,10 @@
 function sendReadiness(
   request: WebRequest,
   callers: Callers,
-  leaving: boolean,
+  isLeaving: boolean,
 ): void {
-  const bar = callers.findRefusal();
-  const ready = bar === undefined && !leaving;
-  const reason = leaving ? 'leaving' : (bar?.kind ?? '');
+  const refusal = callers.findRefusal();
+  const ready = refusal === undefined && !isLeaving;
+  const reason = isLeaving ? 'leaving' : (refusal?.kind ?? '');
   sendJson(request.response, ready ? 200 : 503, {ready, reason});
 }
--- a/packages/daemon/src/services/orders.ts
+++ b/packages/daemon/src/services/orders.ts
@@ -1,8 +1,8 @@
 /**
- * The service `orders`: makes what engines have loaded follow what was
- * declared. One host at a time gives the orders, by a lease in the platform's
- * table; each order carries the lease's fencing number.
- * docs/design/orders.md.
+ * The service `orders`: sends load and unload orders to engines until the
+ * models and adapters they have loaded match the configuration. Only the holder
+ * of a lease in the platform's table sends orders; each order carries the
+ * fencing token of the lease. docs/design/orders.md.
  */
 import {
   createService,
@@ -31,7 +31,7 @@
 import {MEMBERSHIP, type Membership} from './membership.js';
 import {PLATFORM} from './platform.js';
 
-interface OrdersParts {
+interface OrderDispatcherParts {
   readonly host: Host;
   readonly table: TableService;
   readonly configuration: Configuration;
@@ -41,25 +41,25 @@
   readonly clock: Clock;
   readonly log: Logger;
   readonly loadsPerRound: number;
-  readonly dropAfterMs: number;
-  readonly sent: Counter;
+  readonly unloadAfterMs: number;
+  readonly sentOrders: Counter;
 }
 
 const LEASE_NAME = 'orders';
-const ROUND_MS = 1000;
-const CANDIDATES = 3;
+const ROUND_INTERVAL_MS = 1000;
+const MAX_LEASE_CANDIDATES = 3;
 const LEASE_SCHEMA = z.object({
   holder: z.string(),
   fence: z.number().int(),
   renewal: z.number().int(),
 });
 
-/** Gives orders while this host holds the lease. */
+/** Sends orders to engines while this host holds the lease. */
 export class OrderDispatcher {
   private readonly lease: LeaseState;
-  private readonly unwantedSince = new Map<string, number>();
+  private readonly unneededSince = new Map<string, number>();
 
-  constructor(private readonly parts: OrdersParts) {
+  constructor(private readonly parts: OrderDispatcherParts) {
     const {hostId, incarnation} = parts.host;
     this.lease = new LeaseState(
       `${hostId} ${incarnation}`,
@@ -67,76 +67,83 @@
     );
   }
 
-  /** Whether this host gives the orders now. */
-  get isHolder(): boolean {
+  /** Whether this host holds the lease now. */
+  get isLeaseHolder(): boolean {
     return this.lease.getFencingToken(this.parts.clock.getNow()) !== undefined;
   }
 
-  /** Keeps the lease, then gives what orders are due. */
+  /** Acquires or renews the lease, then sends the orders that are due. */
   async runRound(): Promise<void> {
-    if (!this.isHolder && !this.isCandidate()) return;
-    await this.keepLease();
-    if (!this.isHolder) return;
-    const orders = this.listDue();
+    if (!this.isLeaseHolder && !this.isLeaseCandidate()) return;
+    await this.renewLease();
+    if (!this.isLeaseHolder) return;
+    const orders = this.listDueOrders();
     await Promise.all(orders.map((order) => this.send(order)));
   }
 
-  /** Only a few hosts try for the lease, so that the table is read by few. */
-  private isCandidate(): boolean {
+  /** Lets only a few hosts compete for the lease, to limit table reads. */
+  private isLeaseCandidate(): boolean {
     const {membership, host} = this.parts;
     const serving = membership.view.listServing().map((note) => note.hostId);
-    const candidates = chooseLeaderCandidates(LEASE_NAME, serving, CANDIDATES);
+    const candidates = chooseLeaderCandidates(
+      LEASE_NAME,
+      serving,
+      MAX_LEASE_CANDIDATES,
+    );
     return candidates.includes(host.hostId);
   }
 
-  private async keepLease(): Promise<void> {
+  private async renewLease(): Promise<void> {
     const {table, clock} = this.parts;
     const key = getLeaseRowKey(LEASE_NAME);
-    const begunAt = clock.getNow();
+    const readAt = clock.getNow();
     const rows = await table.readRows([key]);
     if (rows.isErr()) return;
     const found = rows.value[0];
-    const step = this.lease.decide(readLease(found), begunAt);
-    if (step.step === 'wait') return;
+    const leaseStep = this.lease.decide(readLease(found), readAt);
+    if (leaseStep.step === 'wait') return;
     const writtenAt = clock.getNow();
     const result = await table.commit({
       conditions: [{key, version: found?.version ?? 0}],
-      writes: [{key, value: JSON.stringify(step.row)}],
+      writes: [{key, value: JSON.stringify(leaseStep.row)}],
     });
     if (result.isErr() || !result.value.committed) return;
-    if (step.step === 'acquire') {
-      this.parts.log.writeInfo('Took the lease on orders.', {
-        fence: step.row.fence,
+    if (leaseStep.step === 'acquire') {
+      this.parts.log.writeInfo('Acquired the lease for orders.', {
+        fence: leaseStep.row.fence,
       });
     }
-    this.lease.recordWrite(step.row, writtenAt);
+    this.lease.recordWrite(leaseStep.row, writtenAt);
   }
 
-  private listDue(): PlannedOrder[] {
+  private listDueOrders(): PlannedOrder[] {
     const now = this.parts.clock.getNow();
-    const planned = planOrders(this.listWanted(), this.parts.loadsPerRound);
+    const planned = planOrders(
+      this.listDesiredLoads(),
+      this.parts.loadsPerRound,
+    );
     const keys = new Set(planned.map(getOrderKey));
-    for (const key of this.unwantedSince.keys()) {
-      if (!keys.has(key)) this.unwantedSince.delete(key);
+    for (const key of this.unneededSince.keys()) {
+      if (!keys.has(key)) this.unneededSince.delete(key);
     }
     return planned.filter((order) => {
       if (order.action.startsWith('load')) return true;
-      // Answers that began on it may run for minutes yet.
-      const since = this.unwantedSince.get(getOrderKey(order)) ?? now;
-      this.unwantedSince.set(getOrderKey(order), since);
-      return now - since >= this.parts.dropAfterMs;
+      // Responses that started on it may still run for minutes.
+      const since = this.unneededSince.get(getOrderKey(order)) ?? now;
+      this.unneededSince.set(getOrderKey(order), since);
+      return now - since >= this.parts.unloadAfterMs;
     });
   }
 
-  private listWanted(): DesiredLoads[] {
+  private listDesiredLoads(): DesiredLoads[] {
     const {configuration, directory, admission} = this.parts;
-    const wanted: DesiredLoads[] = [];
+    const desired: DesiredLoads[] = [];
     for (const {name} of configuration.listKind('service')) {
       const spec = configuration.findSpec('service', name);
       if (spec?.type !== 'generation') continue;
       const version = configuration.findSpec('modelVersion', spec.modelVersion);
       const usable = directory.listUsable(name).filter((r) => r.isAnswering);
-      wanted.push({
+      desired.push({
         service: name,
         models: [spec.modelVersion],
         adapters: spec.adapters,
@@ -145,19 +152,19 @@
         endpoints: usable.map(({address, loaded}) => ({address, ...loaded})),
       });
     }
-    return wanted;
+    return desired;
   }
 
   private async send(order: PlannedOrder): Promise<void> {
-    const {clock, directory, log, sent} = this.parts;
+    const {clock, directory, log, sentOrders} = this.parts;
     const fence = this.lease.getFencingToken(clock.getNow());
     const engine = directory.find(order.address)?.clients.engine;
     if (fence === undefined || engine === undefined) return;
     const {action, target, address} = order;
     const result = await engine.sendOrder({fence, action, target});
     const outcome = result.isOk() ? 'done' : result.error.kind;
-    sent.inc({action, outcome});
-    log.writeInfo('Gave an order.', {
+    sentOrders.inc({action, outcome});
+    log.writeInfo('Sent an order to an endpoint.', {
       endpoint: address,
       action,
       target,
@@ -182,11 +189,11 @@
 const SETTINGS = z.object({
   loadsPerSecond: z.coerce.number().int().min(1).default(2).meta({
     unit: 'loads/s',
-    description: 'Loads begun a second, by what the weight store can feed.',
+    description: 'Maximum rate of model loads, limited by the weight store.',
   }),
   dropAfterSeconds: z.coerce.number().int().min(0).default(900).meta({
     unit: 's',
-    description: 'How long what is wanted no more stays loaded.',
+    description: 'How long an unneeded model or adapter stays loaded.',
   }),
 });
 
@@ -206,24 +213,24 @@
       clock: context.clock,
       log: context.log,
       loadsPerRound: settings.loadsPerSecond,
-      dropAfterMs: settings.dropAfterSeconds * 1000,
-      sent: new Counter({
+      unloadAfterMs: settings.dropAfterSeconds * 1000,
+      sentOrders: new Counter({
         name: 'irisdock_orders_sent_total',
-        help: 'Orders given to engines, a count, by action and outcome.',
+        help: 'Orders sent to engines, a count, by action and outcome.',
         labelNames: ['action', 'outcome'],
         registers: [context.metrics],
       }),
     });
     new Gauge({
       name: 'irisdock_orders_holder',
-      help: 'Whether this host gives the orders, 1 or 0.',
+      help: 'Whether this host holds the lease for orders, 1 or 0.',
       registers: [context.metrics],
       collect() {
-        this.set(Number(api.isHolder));
+        this.set(Number(api.isLeaseHolder));
       },
     });
     const rounds = new Repeater(
-      (signal) => context.clock.wait(ROUND_MS, signal),
+      (signal) => context.clock.wait(ROUND_INTERVAL_MS, signal),
       () => api.runRound(),
       context.log,
     );
--- a/packages/daemon/src/services/ownership.ts
+++ b/packages/daemon/src/services/ownership.ts
@@ -1,6 +1,6 @@
 /**
- * The service `ownership`: mints request ids and decides who may start a
- * request. docs/design/at_most_once.md.
+ * The service `ownership`: creates request ids and decides which host may start
+ * a request. docs/design/at_most_once.md.
  */
 import {
   createService,
@@ -23,9 +23,10 @@
 import {HOST, type Host} from './host.js';
 import {MEMBERSHIP, type Membership} from './membership.js';
 
-const SERIAL_PART = 2 ** 24;
+// A serial is 48 random bits, drawn as two halves of 24 bits.
+const SERIAL_HALF_RANGE = 2 ** 24;
 
-/** What is known of a request when it arrives. */
+/** What is known about a request when it arrives. */
 export interface IncomingRequest {
   readonly id: ParsedRequestId;
   readonly repeatable: boolean;
@@ -34,13 +35,13 @@
   readonly ledger: 'ended' | 'running' | undefined;
 }
 
-/** What this host may do with a request. */
+/** A decision that lets this host handle a request. */
 export type Permission = Extract<OwnerDecision, 'join' | 'start' | 'take_over'>;
 
-/** Why a request is not for this host. */
+/** Why this host does not handle a request. */
 export interface OwnerRefusal {
   readonly error: KnownError;
-  /** The owner's caller address, to send the caller to. */
+  /** The owner's caller address, for a redirect. */
   readonly location?: string;
 }
 
@@ -51,7 +52,7 @@
   refuse_unknown: 'outcome_unknown',
 };
 
-/** Mints ids and decides on requests. */
+/** Creates request ids and checks the ids of incoming requests. */
 export class Ownership {
   constructor(
     private readonly host: Host,
@@ -61,41 +62,42 @@
     private readonly startWithinSeconds: number,
   ) {}
 
-  /** How long the fate of a request is remembered, in milliseconds. */
+  /** How long the outcome of a request is remembered, in milliseconds. */
   get retentionMs(): number {
-    // Longer than an id may start, so that none starts after it is forgotten.
+    // Exceeds the period in which an id may start a request, so that no request
+    // starts again after its outcome has been forgotten.
     return (this.startWithinSeconds + 60) * 1000;
   }
 
-  /** Mints an id bound to a host and its incarnation. */
+  /** Creates an id that is bound to a host and its incarnation. */
   createId(owner: Pick<MemberNote, 'hostId' | 'incarnation'>): string {
     const {hostId, incarnation} = owner;
     const mintedAt = this.getNowSeconds();
-    // Any host may mint for any other, so the serial is random.
+    // The serial is random because any host may create ids for any other.
     const serial =
-      this.random.getInt(SERIAL_PART) * SERIAL_PART +
-      this.random.getInt(SERIAL_PART);
+      this.random.getInt(SERIAL_HALF_RANGE) * SERIAL_HALF_RANGE +
+      this.random.getInt(SERIAL_HALF_RANGE);
     const minted = {hostId, incarnation, mintedAt, serial};
     return createRequestId(minted, this.host.signer);
   }
 
-  /** Reads an id that came with a request. */
+  /** Parses and verifies the id of an incoming request. */
   parseId(id: string): ParsedRequestId {
     return parseRequestId(id, this.host.signer);
   }
 
-  /** Decides what this host may do with a request. */
-  check(arrival: IncomingRequest): Result<Permission, OwnerRefusal> {
+  /** Decides whether and how this host may handle a request. */
+  check(request: IncomingRequest): Result<Permission, OwnerRefusal> {
     const {hostId, incarnation} = this.host;
     const owner =
-      arrival.id.origin === 'minted'
-        ? this.membership.view.find(arrival.id.minted.hostId)
+      request.id.origin === 'minted'
+        ? this.membership.view.find(request.id.minted.hostId)
         : undefined;
-    const ownerLives = owner !== undefined && owner.state !== 'dead';
+    const isOwnerLive = owner !== undefined && owner.state !== 'dead';
     const decision = decideOwner({
-      ...arrival,
+      ...request,
       self: {hostId, incarnation},
-      liveOwnerIncarnation: ownerLives ? owner.incarnation : undefined,
+      liveOwnerIncarnation: isOwnerLive ? owner.incarnation : undefined,
       nowSeconds: this.getNowSeconds(),
       startWithinSeconds: this.startWithinSeconds,
     });
@@ -121,7 +123,8 @@
 const SETTINGS = z.object({
   startWithinSeconds: z.coerce.number().int().min(1).default(300).meta({
     unit: 's',
-    description: 'How long after minting a request id may start a request.',
+    description:
+      'How long after its creation a request id may start a request.',
   }),
 });
 
--- a/packages/daemon/src/services/peer_links.ts
+++ b/packages/daemon/src/services/peer_links.ts
@@ -1,8 +1,8 @@
 /**
- * The service `peers`: the streams between hosts. Each host watches a few
- * others; over a watch come heartbeats, notes on members, changes of
- * configuration and hints on endpoints, each passed on once by every host it
- * is news to.
+ * The service `peers`: exchanges updates between hosts. Each host watches a few
+ * others. A watch delivers heartbeats, member notes, configuration changes and
+ * endpoint hints. Each host forwards member notes and configuration changes
+ * once, when they are new to it.
  */
 import {
   Channel,
@@ -33,71 +33,79 @@
 import {LISTENERS} from './listeners.js';
 import {MEMBERSHIP, type Membership} from './membership.js';
 
-const MAX_QUEUED = 1000;
-const LINK_CHECK_MS = 250;
-const MAX_TRIED = 2;
+const MAX_QUEUED_BATCHES = 1000;
+const LINK_CHECK_INTERVAL_MS = 250;
+const MAX_RECONNECT_PEERS = 2;
 
-/** What is passed on; each field may be empty. */
-interface Passed {
+/** Updates for the watchers of this host; each field may be empty. */
+interface UpdateBatch {
   readonly members: readonly MemberNote[];
   readonly changes: readonly Change[];
   readonly endpoints: readonly EndpointHint[];
   readonly loads: readonly LoadHint[];
 }
 
-const NOTHING: Passed = {members: [], changes: [], endpoints: [], loads: []};
+const EMPTY_BATCH: UpdateBatch = {
+  members: [],
+  changes: [],
+  endpoints: [],
+  loads: [],
+};
 
-/** What the links need of the rest. */
-interface LinkParts {
+/** The dependencies of the service. */
+interface PeerLinksParts {
   readonly host: Host;
   readonly membership: Membership;
   readonly configuration: Configuration;
   readonly clock: Clock;
   readonly log: Logger;
   readonly heartbeatMs: number;
-  readonly received: Counter;
+  readonly receivedMessages: Counter;
 }
 
-/** The streams to and from other hosts. */
+/** The watches to and from other hosts. */
 export class PeerLinks implements PeerHandler {
-  /** Hints on endpoints from other hosts. */
+  /** Endpoint hints received from other hosts. */
   readonly hints: Stream<EndpointHint>;
-  /** Load reports that other hosts got. */
+  /** Load reports received via other hosts. */
   readonly loads: Stream<readonly LoadHint[]>;
-  /** Counts requests in flight; set by the service that knows. */
+  /** Counts requests in flight; set by the service `streams`. */
   countInFlight: () => number = () => 0;
   private readonly hintChannel = new Channel<EndpointHint>();
   private readonly loadChannel = new Channel<readonly LoadHint[]>();
-  private readonly ownHints = new Channel<Passed>();
+  private readonly localUpdates = new Channel<UpdateBatch>();
   private readonly links = new Map<string, AbortController>();
-  private readonly revisions = new Map<string, number>();
-  private readonly outgoing: Stream<Passed>;
+  private readonly reportedRevisions = new Map<string, number>();
+  private readonly outgoing: Stream<UpdateBatch>;
 
-  constructor(private readonly parts: LinkParts) {
+  constructor(private readonly parts: PeerLinksParts) {
     const {membership, configuration} = parts;
     this.hints = this.hintChannel.stream;
     this.loads = this.loadChannel.stream;
-    const members = membership.updates.map((m) => ({...NOTHING, members: m}));
+    const members = membership.updates.map((m) => ({
+      ...EMPTY_BATCH,
+      members: m,
+    }));
     const changes = configuration.changes.map((c) => ({
-      ...NOTHING,
+      ...EMPTY_BATCH,
       changes: c,
     }));
-    this.outgoing = this.ownHints.stream.merge(members).merge(changes);
+    this.outgoing = this.localUpdates.stream.merge(members).merge(changes);
   }
 
-  /** Gives the revision that a watched host last said it has in force. */
+  /** Returns the active revision that a watched host last reported. */
   getRevision(hostId: string): number | undefined {
-    return this.revisions.get(hostId);
+    return this.reportedRevisions.get(hostId);
   }
 
-  /** Tells the watchers of an endpoint that was lost or answers again. */
+  /** Sends the watchers a hint about a failed or stalled endpoint. */
   sendHint(hint: EndpointHint): void {
-    this.ownHints.post({...NOTHING, endpoints: [hint]});
+    this.localUpdates.post({...EMPTY_BATCH, endpoints: [hint]});
   }
 
-  /** Tells the watchers of load reports; they are not passed on further. */
+  /** Sends load reports to the watchers, which do not forward them. */
   sendLoads(loads: readonly LoadHint[]): void {
-    this.ownHints.post({...NOTHING, loads});
+    this.localUpdates.post({...EMPTY_BATCH, loads});
   }
 
   async *watch(
@@ -105,13 +113,16 @@
     signal: AbortSignal,
   ): AsyncGenerator<PeerNews> {
     const {membership, heartbeatMs} = this.parts;
-    const queue = new UpdateQueue<Passed>(MAX_QUEUED);
+    const queue = new UpdateQueue<UpdateBatch>(MAX_QUEUED_BATCHES);
     queue.readFrom(this.outgoing, signal);
     membership.applyNotes([watcher]);
-    yield this.createNews({...NOTHING, members: membership.view.list()});
+    yield this.createPeerNews({
+      ...EMPTY_BATCH,
+      members: membership.view.list(),
+    });
     while (!signal.aborted && !queue.hasOverflowed) {
-      const items = await queue.takeAll(heartbeatMs, signal);
-      yield this.createNews(createJoined(items));
+      const batches = await queue.takeAll(heartbeatMs, signal);
+      yield this.createPeerNews(createJoinedBatch(batches));
     }
   }
 
@@ -123,17 +134,17 @@
   }
 
   getConfiguration(afterRevision: number): ConfigurationPart {
-    const {reader, revision} = this.parts.configuration;
-    const changes = reader.getChangesAfter(afterRevision);
+    const {activeState, revision} = this.parts.configuration;
+    const changes = activeState.getChangesAfter(afterRevision);
     if (changes !== undefined) {
       const texts = changes.map((change) => JSON.stringify(change));
       return {revision, changes: texts, snapshot: ''};
     }
-    const snapshot = JSON.stringify(reader.getSnapshot());
+    const snapshot = JSON.stringify(activeState.getSnapshot());
     return {revision, changes: [], snapshot};
   }
 
-  /** Opens and closes links so that they fit the members of now. */
+  /** Opens and closes links to match the current membership. */
   updateLinks(): void {
     const {view} = this.parts.membership;
     const now = this.parts.clock.getNow();
@@ -141,7 +152,7 @@
     for (const note of view.listWatchTargets()) {
       targets.set(note.peerAddress, note.hostId);
     }
-    for (const address of view.listReconnectPeers(MAX_TRIED, now)) {
+    for (const address of view.listReconnectPeers(MAX_RECONNECT_PEERS, now)) {
       targets.set(address, '');
     }
     const watched = [...targets.values()].filter((hostId) => hostId !== '');
@@ -160,14 +171,14 @@
   }
 
   private openLink(address: string, hostId: string): void {
-    const controller = new AbortController();
-    this.links.set(address, controller);
-    void this.runLink(address, hostId, controller.signal).finally(() => {
+    const abortController = new AbortController();
+    this.links.set(address, abortController);
+    void this.runLink(address, hostId, abortController.signal).finally(() => {
       this.links.delete(address);
     });
   }
 
-  /** @param hostId The host at the address; empty when it is not known. */
+  /** @param hostId The host at the address; empty if unknown. */
   private async runLink(
     address: string,
     hostId: string,
@@ -177,51 +188,55 @@
     const client = new PeerClient(address);
     try {
       const own = membership.view.self;
-      for await (const news of client.watch(own, signal)) {
-        await this.apply(client, news);
+      for await (const update of client.watch(own, signal)) {
+        await this.apply(client, update);
       }
     } catch (thrown) {
       const error = getErrorText(thrown);
-      if (!signal.aborted) log.writeDebug('A link broke.', {address, error});
+      if (!signal.aborted) log.writeDebug('A link failed.', {address, error});
       if (isRefused(thrown)) membership.recordConnectionRefused(hostId);
     }
     client.close();
-    await clock.wait(LINK_CHECK_MS, signal);
+    await clock.wait(LINK_CHECK_INTERVAL_MS, signal);
   }
 
-  private async apply(client: PeerClient, news: PeerNews): Promise<void> {
-    const {membership, configuration, clock, received} = this.parts;
-    received.inc();
+  private async apply(client: PeerClient, update: PeerNews): Promise<void> {
+    const {membership, configuration, clock, receivedMessages} = this.parts;
+    receivedMessages.inc();
     const {sequence} = membership.view.self;
-    membership.applyNotes(news.members);
-    // Others may have given this host up and not be watching it any more.
-    const contradicts = membership.view.self.sequence !== sequence;
-    if (contradicts) await client.sendNotes([membership.view.self]);
-    for (const hint of news.endpoints) this.hintChannel.post(hint);
-    if (news.loads.length > 0) this.loadChannel.post(news.loads);
-    const {heartbeat} = news;
+    membership.applyNotes(update.members);
+    // Other hosts may consider this one dead and have stopped watching it, so
+    // the corrected note is sent to them.
+    const wasContradicted = membership.view.self.sequence !== sequence;
+    if (wasContradicted) await client.sendNotes([membership.view.self]);
+    for (const hint of update.endpoints) this.hintChannel.post(hint);
+    if (update.loads.length > 0) this.loadChannel.post(update.loads);
+    const {heartbeat} = update;
     if (heartbeat === undefined) return;
     const {hostId, incarnation, revision, tableAgeMs} = heartbeat;
-    this.revisions.set(hostId, revision);
+    this.reportedRevisions.set(hostId, revision);
     membership.view.recordHeartbeat(hostId, incarnation, clock.getNow());
-    await this.correct(client, hostId);
-    configuration.applyChanges(news.changes.map(parseChange));
-    if (configuration.revision < revision) await this.loadFrom(client);
+    await this.correctNote(client, hostId);
+    configuration.applyChanges(update.changes.map(parseChange));
+    if (configuration.revision < revision) await this.loadConfiguration(client);
     if (configuration.revision >= revision) {
       configuration.recordTableContact(tableAgeMs);
     }
   }
 
-  /** Tells a host that is heard, though it counts as dead, of that. */
-  private async correct(client: PeerClient, hostId: string): Promise<void> {
+  /**
+   * Informs a host that counts as suspect or dead although it sends heartbeats;
+   * it responds with newer notes.
+   */
+  private async correctNote(client: PeerClient, hostId: string): Promise<void> {
     const {view} = this.parts.membership;
     const note = view.find(hostId);
     if (note?.state !== 'dead' && note?.state !== 'suspect') return;
-    const better = await client.sendNotes([note]);
-    if (better.isOk()) this.parts.membership.applyNotes(better.value);
+    const response = await client.sendNotes([note]);
+    if (response.isOk()) this.parts.membership.applyNotes(response.value);
   }
 
-  private async loadFrom(client: PeerClient): Promise<void> {
+  private async loadConfiguration(client: PeerClient): Promise<void> {
     const {configuration} = this.parts;
     const part = await client.getConfiguration(configuration.revision);
     if (part.isErr()) return;
@@ -232,7 +247,7 @@
     }
   }
 
-  private createNews(passed: Passed): PeerNews {
+  private createPeerNews(batch: UpdateBatch): PeerNews {
     const {host, configuration} = this.parts;
     return {
       heartbeat: {
@@ -242,10 +257,10 @@
         tableAgeMs: configuration.tableAgeMs,
         inFlight: this.countInFlight(),
       },
-      members: passed.members,
-      endpoints: passed.endpoints,
-      loads: passed.loads,
-      changes: passed.changes.map((change) => JSON.stringify(change)),
+      members: batch.members,
+      endpoints: batch.endpoints,
+      loads: batch.loads,
+      changes: batch.changes.map((change) => JSON.stringify(change)),
     };
   }
 }
@@ -256,7 +271,7 @@
 const SETTINGS = z.object({
   heartbeatMs: z.coerce.number().int().min(50).default(1000).meta({
     unit: 'ms',
-    description: 'The longest that a host is silent towards its watchers.',
+    description: 'Maximum interval between messages to a watcher.',
   }),
 });
 
@@ -273,14 +288,14 @@
       clock: context.clock,
       log: context.log,
       heartbeatMs: settings.heartbeatMs,
-      received: new Counter({
+      receivedMessages: new Counter({
         name: 'irisdock_peers_messages_received_total',
         help: 'Messages received from other hosts, a count.',
         registers: [context.metrics],
       }),
     });
     const checks = new Repeater(
-      (signal) => context.clock.wait(LINK_CHECK_MS, signal),
+      (signal) => context.clock.wait(LINK_CHECK_INTERVAL_MS, signal),
       () => {
         api.updateLinks();
         return Promise.resolve();
@@ -306,11 +321,11 @@
   return CHANGE_SCHEMA.parse(JSON.parse(text));
 }
 
-function createJoined(items: readonly Passed[]): Passed {
+function createJoinedBatch(batches: readonly UpdateBatch[]): UpdateBatch {
   return {
-    members: items.flatMap((item) => item.members),
-    changes: items.flatMap((item) => item.changes),
-    endpoints: items.flatMap((item) => item.endpoints),
-    loads: items.flatMap((item) => item.loads),
+    members: batches.flatMap((batch) => batch.members),
+    changes: batches.flatMap((batch) => batch.changes),
+    endpoints: batches.flatMap((batch) => batch.endpoints),
+    loads: batches.flatMap((batch) => batch.loads),
   };
 }
--- a/packages/daemon/src/services/plain_calls.ts
+++ b/packages/daemon/src/services/plain_calls.ts
@@ -1,6 +1,6 @@
 /**
- * The service `calls`: passes calls on to plain services. A call that may
- * have run is sent again only when it is repeatable.
+ * The service `calls`: forwards calls to the endpoints of plain services. A
+ * call that may have run is retried only if it is repeatable.
  */
 import {
   createService,
@@ -30,7 +30,7 @@
 import {ENDPOINTS, type EndpointDirectory} from './endpoint_directory.js';
 import {OWNERSHIP, type OwnerRefusal, type Ownership} from './ownership.js';
 
-/** A checked call. */
+/** A validated call to a plain service. */
 export interface PlainRequest {
   readonly id: ParsedRequestId;
   readonly service: string;
@@ -41,7 +41,7 @@
   readonly maxQueueMs: number;
   readonly repeatable: boolean;
   readonly call: Omit<PlainCall, 'timeoutMs'>;
-  /** Aborted when the caller is gone. */
+  /** Aborted when the caller disconnects. */
   readonly signal: AbortSignal;
 }
 
@@ -52,41 +52,45 @@
   readonly configuration: Configuration;
   readonly directory: EndpointDirectory;
   readonly ownership: Ownership;
-  readonly calls: Counter;
+  readonly sentCalls: Counter;
 }
 
-const MAX_TRIES = 3;
-const FULL_AT = 1;
-const NO_PREFIX = (): number => 0;
+const MAX_ATTEMPTS = 3;
+/** Requests per slot at which an endpoint has no free slot. */
+const FULL_LOAD = 1;
+/** Plain endpoints cache no prompts, so no prefix ever matches. */
+const matchNoPrefix = (): number => 0;
 
-/** Passes calls on. */
+/** Forwards calls to plain endpoints. */
 export class PlainCalls {
   private readonly ledger: RequestLedger<'sent'>;
-  private readonly budget = new RetryBudget(DEFAULT_RETRY_BUDGET);
+  private readonly retryBudget = new RetryBudget(DEFAULT_RETRY_BUDGET);
   private running = 0;
 
   constructor(private readonly parts: CallsParts) {
     this.ledger = new RequestLedger(parts.ownership.retentionMs, () => true);
   }
 
-  /** Calls that are under way. */
+  /** The number of calls in flight. */
   get inFlight(): number {
     return this.running;
   }
 
-  /** Passes a call on and gives its answer, or the reason why not. */
-  async serve(ask: PlainRequest): Promise<Result<PlainAnswer, OwnerRefusal>> {
+  /** Forwards a call; resolves to its response or to the refusal. */
+  async serve(
+    request: PlainRequest,
+  ): Promise<Result<PlainAnswer, OwnerRefusal>> {
     const now = this.parts.clock.getNow();
     this.ledger.dropOld(now);
-    const refusal = this.findRefusal(ask);
+    const refusal = this.findRefusal(request);
     if (refusal !== undefined) return err(refusal);
-    if (!ask.repeatable) this.ledger.add(ask.id.id, 'sent', now);
+    if (!request.repeatable) this.ledger.add(request.id.id, 'sent', now);
     this.running++;
     try {
-      const answer = await this.run(ask);
+      const answer = await this.run(request);
       if (answer.isOk()) return ok(answer.value);
       if (answer.error.outcome === 'not-run') {
-        this.ledger.remove(ask.id.id, 'sent');
+        this.ledger.remove(request.id.id, 'sent');
       }
       return err({error: answer.error});
     } finally {
@@ -94,8 +98,8 @@
     }
   }
 
-  private findRefusal(ask: PlainRequest): OwnerRefusal | undefined {
-    const {id, repeatable} = ask;
+  private findRefusal(request: PlainRequest): OwnerRefusal | undefined {
+    const {id, repeatable} = request;
     const ledger = this.ledger.find(id.id) === undefined ? undefined : 'ended';
     const permission = this.parts.ownership.check({
       id,
@@ -110,52 +114,56 @@
   }
 
   private async run(
-    ask: PlainRequest,
+    request: PlainRequest,
   ): Promise<Result<PlainAnswer, KnownError>> {
-    const avoid = new Set<string>();
+    const avoidAddresses = new Set<string>();
     const admitted = await this.parts.admission.submit({
-      id: ask.id.id,
-      service: ask.service,
-      team: ask.team,
-      weight: ask.weight,
+      id: request.id.id,
+      service: request.service,
+      team: request.team,
+      weight: request.weight,
       cost: 1,
-      maxQueue: ask.spec.maxQueue,
-      maxQueueMs: ask.maxQueueMs,
-      maxInFlight: ask.maxInFlight,
-      signal: ask.signal,
-      chooseEndpoint: () => this.choose(ask, avoid),
+      maxQueue: request.spec.maxQueue,
+      maxQueueMs: request.maxQueueMs,
+      maxInFlight: request.maxInFlight,
+      signal: request.signal,
+      chooseEndpoint: () => this.chooseEndpoint(request, avoidAddresses),
     });
     if (admitted.isErr()) return err(admitted.error);
-    this.budget.addFirstAttempt();
+    this.retryBudget.addFirstAttempt();
     try {
-      return await this.tryEndpoints(ask, admitted.value.endpoint, avoid);
+      return await this.tryEndpoints(
+        request,
+        admitted.value.endpoint,
+        avoidAddresses,
+      );
     } finally {
       admitted.value.release();
     }
   }
 
   private async tryEndpoints(
-    ask: PlainRequest,
+    request: PlainRequest,
     first: EndpointRecord,
-    avoid: Set<string>,
+    avoidAddresses: Set<string>,
   ): Promise<Result<PlainAnswer, KnownError>> {
     let endpoint: EndpointRecord | undefined = first;
     let detail = 'no endpoint has room';
     let mayHaveRun = false;
-    for (let tries = 1; endpoint !== undefined; tries++) {
-      const answer = await this.send(ask, endpoint);
+    for (let attempts = 1; endpoint !== undefined; attempts++) {
+      const answer = await this.send(request, endpoint);
       if (answer.isOk()) return ok(answer.value);
       detail = answer.error.message;
-      const unsent = answer.error.outcome === 'not-run';
-      mayHaveRun ||= !unsent;
-      avoid.add(endpoint.address);
-      if (!unsent && !ask.repeatable) break;
+      const hasNotRun = answer.error.outcome === 'not-run';
+      mayHaveRun ||= !hasNotRun;
+      avoidAddresses.add(endpoint.address);
+      if (!hasNotRun && !request.repeatable) break;
       const now = this.parts.clock.getNow();
-      if (tries >= MAX_TRIES || !this.budget.takeRetry(now)) break;
-      endpoint = this.choose(ask, avoid);
+      if (attempts >= MAX_ATTEMPTS || !this.retryBudget.takeRetry(now)) break;
+      endpoint = this.chooseEndpoint(request, avoidAddresses);
       endpoint?.startRequest();
     }
-    const {service} = ask;
+    const {service} = request;
     return err(
       mayHaveRun
         ? DAEMON_ERRORS.create('call_lost', {service, detail}, 1)
@@ -164,18 +172,18 @@
   }
 
   private async send(
-    ask: PlainRequest,
+    request: PlainRequest,
     endpoint: EndpointRecord,
   ): Promise<Result<PlainAnswer, KnownError>> {
     const {plain} = endpoint.clients;
-    const {service} = ask;
+    const {service} = request;
     if (plain === undefined) {
       return err(DAEMON_ERRORS.create('no_endpoint', {service}, 1));
     }
-    const timeoutMs = ask.spec.callMs;
-    const answer = await plain.send({...ask.call, timeoutMs});
+    const timeoutMs = request.spec.callMs;
+    const answer = await plain.send({...request.call, timeoutMs});
     const outcome = answer.isOk() ? 'answered' : answer.error.kind;
-    this.parts.calls.inc({service, outcome});
+    this.parts.sentCalls.inc({service, outcome});
     if (answer.isOk()) {
       const {body} = answer.value;
       body.once('close', () => {
@@ -190,27 +198,31 @@
     return err(answer.error);
   }
 
-  private choose(
-    ask: PlainRequest,
-    avoid: ReadonlySet<string>,
+  private chooseEndpoint(
+    request: PlainRequest,
+    avoidAddresses: ReadonlySet<string>,
   ): EndpointRecord | undefined {
     const {configuration, directory, random} = this.parts;
     const rules = configuration.listSpecs('placementRule');
-    const placement = computePlacementConstraints(rules, ask.service, ask.team);
+    const placement = computePlacementConstraints(
+      rules,
+      request.service,
+      request.team,
+    );
     const records = directory
-      .listUsable(ask.service)
+      .listUsable(request.service)
       .filter((record) => isDomainAllowed(placement, record.failureDomain));
     const view = chooseEndpoint(
       records.map((record) => record.getView()),
       {
         blockCount: 0,
-        avoidAddresses: avoid,
+        avoidAddresses,
         mayRetryLost: true,
         avoidDomains: new Set(),
         preferDomains: placement.preferred,
-        maxLoad: FULL_AT,
+        maxLoad: FULL_LOAD,
       },
-      NO_PREFIX,
+      matchNoPrefix,
       random,
     );
     return records.find((record) => record.address === view?.address);
@@ -233,7 +245,7 @@
       configuration: context.find(CONFIGURATION),
       directory: context.find(ENDPOINTS),
       ownership: context.find(OWNERSHIP),
-      calls: new Counter({
+      sentCalls: new Counter({
         name: 'irisdock_calls_sent_total',
         help: 'Calls sent to plain endpoints, a count, by service and outcome.',
         labelNames: ['service', 'outcome'],
--- a/packages/daemon/src/services/platform.ts
+++ b/packages/daemon/src/services/platform.ts
@@ -1,4 +1,4 @@
-/** The service `platform`: the clients of the platform's services. */
+/** The service `platform`: clients of the platform's services. */
 import {
   createService,
   createServiceKey,
@@ -12,7 +12,7 @@
 } from '@irisdock/storage';
 import * as z from 'zod';
 
-/** The platform. */
+/** The platform's table, object store and host list. */
 export interface Platform {
   readonly table: TableService;
   readonly objects: ObjectStore;
@@ -25,11 +25,11 @@
 const SETTINGS = z.object({
   address: IP_PORT_SCHEMA.meta({
     unit: 'ip:port',
-    description: 'Where the platform answers.',
+    description: 'Address of the platform.',
   }),
   timeoutMs: z.coerce.number().int().min(50).default(1500).meta({
     unit: 'ms',
-    description: 'The longest that a call to the platform may take.',
+    description: 'Maximum duration of a call to the platform.',
   }),
 });
 
--- a/packages/daemon/src/services/streams.ts
+++ b/packages/daemon/src/services/streams.ts
@@ -1,7 +1,7 @@
 /**
- * The service `streams`: answers requests for text. It keeps what this host
- * has started, joins a caller that comes back to its answer, and takes over
- * answers that began on other hosts.
+ * The service `streams`: serves generation requests. It records the requests
+ * that this host has started, attaches a reconnecting caller to its running
+ * response, and takes over responses that started on other hosts.
  */
 import {
   createService,
@@ -37,7 +37,7 @@
 import {OWNERSHIP, type OwnerRefusal, type Ownership} from './ownership.js';
 import {PEER_LINKS} from './peer_links.js';
 
-/** What the service works with. */
+/** The dependencies and limits of the service. */
 export interface StreamsParts {
   readonly clock: Clock;
   readonly random: Random;
@@ -53,7 +53,7 @@
   readonly keepEndedMs: number;
 }
 
-/** Answers requests for text. */
+/** Serves generation requests. */
 export class Streams {
   private readonly ledger: RequestLedger<RequestRecord>;
   private readonly finder: RecordFinder;
@@ -69,37 +69,37 @@
     this.finder = new RecordFinder({ledger, ownership, clock, random});
   }
 
-  /** Answers that are being given now. */
+  /** The number of responses in progress. */
   get inFlight(): number {
     return this.running;
   }
 
-  /** Requests that are remembered. */
+  /** The number of requests in the ledger. */
   get remembered(): number {
     return this.ledger.size;
   }
 
-  /** Answers a request into a sink, or gives the reason why not. */
+  /** Writes the response to a sink; resolves to the refusal if there is one. */
   async serve(
-    ask: StreamAsk,
+    request: StreamAsk,
     sink: AnswerSink,
   ): Promise<Result<void, OwnerRefusal>> {
     this.ledger.dropOld(this.parts.clock.getNow());
-    const record = this.finder.find(ask);
+    const record = this.finder.find(request);
     if (record.isErr()) return err(record.error);
-    await this.runDriver(ask, sink, record.value);
+    await this.runDriver(request, sink, record.value);
     return ok();
   }
 
   private async runDriver(
-    ask: StreamAsk,
+    request: StreamAsk,
     sink: AnswerSink,
     record: RequestRecord,
   ): Promise<void> {
     await record.lock.take();
     this.running++;
     try {
-      const outcome = await this.drive(ask, sink, record).finally(() => {
+      const outcome = await this.drive(request, sink, record).finally(() => {
         record.lock.end();
       });
       this.finish(record, sink, outcome);
@@ -109,18 +109,19 @@
   }
 
   private async drive(
-    ask: StreamAsk,
+    request: StreamAsk,
     sink: AnswerSink,
     record: RequestRecord,
   ): Promise<DriveOutcome> {
     if (record.state === 'dropped') record.state = 'running';
     const driver = this.createDriver(record, sink);
-    // Where it runs is known only now that no other driver changes it.
+    // Read only under the lock: until then another driver may change where the
+    // request runs.
     const {service} = record.request;
     const endpoint = record.mayHaveRun
       ? this.parts.directory.open(record.endpoint, service)
       : undefined;
-    return driver.run(ask.fromOffset, endpoint);
+    return driver.run(request.fromOffset, endpoint);
   }
 
   private createDriver(record: RequestRecord, sink: AnswerSink): AnswerDriver {
@@ -147,46 +148,46 @@
       const loss = 'another host took it over';
       sink.fail(DAEMON_ERRORS.create('generation_lost', {loss}, 1));
     }
-    // A newer connection took it up; the one before learns it at once.
+    // A newer connection took over the response: end this one immediately.
     if (outcome === 'stopped' && !sink.signal.aborted) {
       sink.fail(createTakenUp());
     }
-    // What became of the request is settled by its last driver: taken off the
-    // ledger under one that goes on with it, it could be started again.
+    // Only the last driver settles the request: if its entry were removed from
+    // the ledger while another driver continues, the request could start again.
     if (record.lock.isFree) this.finishRecord(record, outcome);
   }
 
-  /** Settles how a request stands that nobody goes on with here. */
+  /** Settles a request that no driver on this host continues. */
   private finishRecord(record: RequestRecord, outcome: DriveOutcome): void {
     if (outcome === 'ended') {
-      this.planForget(record);
+      this.planTokenRelease(record);
       return;
     }
     const hasRun = record.mayHaveRun;
     if (outcome === 'stopped' && hasRun) {
-      this.planDrop(record);
+      this.planCancel(record);
       return;
     }
     record.state = 'dropped';
-    // Nothing of it ran, so its id may start anew.
+    // Nothing of the request ran, so its id may start it again.
     if (!hasRun) this.ledger.remove(record.request.id, record);
   }
 
-  /** Forgets the text of an answer once its caller has had time for it. */
-  private planForget(record: RequestRecord): void {
+  /** Drops the text of a response after the time left for reconnects. */
+  private planTokenRelease(record: RequestRecord): void {
     const timer = setTimeout(() => {
       record.dropTokens();
     }, this.parts.keepEndedMs);
     timer.unref();
   }
 
-  /** Drops a generation whose caller does not come back. */
-  private planDrop(record: RequestRecord): void {
+  /** Cancels a generation unless its caller reconnects in time. */
+  private planCancel(record: RequestRecord): void {
     const {lock} = record;
     const {signal} = lock;
     const timer = setTimeout(() => {
-      const takenUp = !lock.isFree || lock.signal !== signal;
-      if (takenUp || record.state !== 'running') return;
+      const isTakenUp = !lock.isFree || lock.signal !== signal;
+      if (isTakenUp || record.state !== 'running') return;
       record.state = 'dropped';
       const engine = this.parts.directory.find(record.endpoint)?.clients.engine;
       void engine?.cancel(record.request.id, record.generation + 1);
@@ -224,7 +225,7 @@
     });
     new Gauge({
       name: 'irisdock_streams_in_flight',
-      help: 'Answers being given now, a count.',
+      help: 'Responses in progress, a count.',
       registers: [context.metrics],
       collect() {
         this.set(api.inFlight);
@@ -232,7 +233,7 @@
     });
     new Gauge({
       name: 'irisdock_streams_remembered',
-      help: 'Requests whose fate is remembered, a count.',
+      help: 'Requests whose outcome is remembered, a count.',
       registers: [context.metrics],
       collect() {
         this.set(api.remembered);
--- a/packages/daemon/tests/admission.test.ts
+++ b/packages/daemon/tests/admission.test.ts
@@ -1,4 +1,4 @@
-/** The queue of a service answers every request that enters it. */
+/** Every request submitted to admission is answered: admitted or refused. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import type {AdmissionRequest} from '../src/services/admission.js';
@@ -21,7 +21,7 @@
 }
 
 describe('Admission', () => {
-  it('answers a request whose caller leaves while it waits', async () => {
+  it('refuses a queued request when its caller disconnects', async () => {
     const admission = createAdmission();
     const controller = new AbortController();
     const {signal} = controller;
@@ -32,13 +32,13 @@
     assert.equal(admission.countWaiting('s'), 0);
   });
 
-  it('answers a request whose caller left before', async () => {
+  it('refuses a request whose caller has already disconnected', async () => {
     const entry = createEntry({signal: AbortSignal.abort()});
     const answer = await createAdmission().submit(entry);
     assert.equal(answer._unsafeUnwrapErr().kind, 'caller_left');
   });
 
-  it('refuses at once what has waited long enough', async () => {
+  it('refuses a queued request at its deadline', async () => {
     const admission = createAdmission();
     const answer = await admission.submit(createEntry({maxQueueMs: 30}));
     const error = answer._unsafeUnwrapErr();
@@ -47,7 +47,7 @@
     assert.ok((error.retryAfterSeconds ?? 0) >= 1);
   });
 
-  it('refuses what does not fit, and new work of a host that leaves', async () => {
+  it('refuses requests when the queue is full or the host is leaving', async () => {
     const admission = createAdmission();
     const controller = new AbortController();
     const {signal} = controller;
--- a/packages/daemon/tests/fixtures.ts
+++ b/packages/daemon/tests/fixtures.ts
@@ -1,15 +1,15 @@
-/** What the daemon's tests build. */
+/** Fixtures for the daemon's tests. */
 import {SeededRandom, SystemClock} from '@irisdock/kernel';
 import {Counter, Histogram} from 'prom-client';
 import {Admission} from '../src/services/admission.js';
 
-/** Creates the queues of a host. */
+/** Creates an admission service with unregistered metrics. */
 export function createAdmission(): Admission {
   const registers: [] = [];
   return new Admission({
     clock: new SystemClock(),
     random: new SeededRandom(1),
-    waits: new Histogram({
+    waitSeconds: new Histogram({
       name: 'waits',
       help: 'Waits.',
       labelNames: ['service'],
--- a/scripts/check_proofs.mjs
+++ b/scripts/check_proofs.mjs
@@ -111,7 +111,7 @@
   [
     'a call that may have run is not sent again',
     `${DAEMON}/services/plain_calls.js`,
-    '!unsent && !ask.repeatable',
+    '!hasNotRun && !request.repeatable',
     'false',
     'testkit/endpoints',
     'not repeatable once',
@@ -119,7 +119,7 @@
   [
     'a call is remembered',
     `${DAEMON}/services/plain_calls.js`,
-    "this.ledger.add(ask.id.id, 'sent', now)",
+    "this.ledger.add(request.id.id, 'sent', now)",
     'void 0',
     'testkit/endpoints',
     'an id that was answered',
@@ -199,7 +199,7 @@
   [
     'a list that contradicts itself is read as leaving',
     `${DAEMON}/services/host_list.js`,
-    'endpoints.apply(endpoint, now)',
+    'endpointHosts.apply(endpoint, now)',
     'endpoint',
     'testkit/endpoints',
     'leaving get no new work',
