--- a/packages/daemon/src/services/endpoint_directory.ts
+++ b/packages/daemon/src/services/endpoint_directory.ts
@@ -36,7 +36,7 @@
   readonly stalls: Counter;
 }
 
-/** The endpoints that this host uses. */
+/** Holds the records of the endpoints that this host uses. */
 export class EndpointDirectory {
   readonly prefixes: PrefixIndex;
   /** Names of services whose endpoints may have free capacity now. */
@@ -229,7 +229,7 @@
     return gaps;
   }
 
-  /** Removes an endpoint once it is idle; running requests complete first. */
+  /** Stops new requests to an endpoint; removes it if it is idle. */
   private remove(record: EndpointRecord): void {
     record.isLeaving = true;
     this.poller.remove(record);
--- a/packages/daemon/src/services/membership.ts
+++ b/packages/daemon/src/services/membership.ts
@@ -128,7 +128,8 @@
     .default(DEFAULT_MEMBERSHIP_TIMEOUTS.goneAfterMs)
     .meta({
       unit: 'ms',
-      description: 'The same for a host whose address refuses connections.',
+      description:
+        'Like deadAfterMs, for a host whose address refuses connections.',
     }),
   maxTableAgeMs: z.coerce.number().int().min(500).default(8000).meta({
     unit: 'ms',
