--- a/packages/daemon/src/answer/answer_driver.ts
+++ b/packages/daemon/src/answer/answer_driver.ts
@@ -18,7 +18,7 @@
 import {err, ok, type Result} from 'neverthrow';
 import type {EndpointRecord} from '../endpoint/endpoint_record.js';
 import {DAEMON_ERRORS} from '../errors.js';
-import type {Admission, Admitted} from '../services/admission.js';
+import type {Admission, AdmittedRequest} from '../services/admission.js';
 import type {EndpointDirectory} from '../services/endpoint_directory.js';
 import {
   AnswerAttempt,
@@ -74,7 +74,7 @@
   private readonly assembler: AnswerAssembler;
   private readonly avoided = new Set<string>();
   private readonly startedAt: number;
-  private admitted: Admitted | undefined;
+  private admitted: AdmittedRequest | undefined;
   private countedLosses = 0;
   private attachAttempts = 0;
   private lastTokenAt: number | undefined;
@@ -107,7 +107,7 @@
     try {
       return await this.runAttempts(attachTo);
     } finally {
-      this.admitted?.end();
+      this.admitted?.release();
     }
   }
 
@@ -196,7 +196,7 @@
       maxQueueMs: this.record.request.maxQueueMs,
       maxInFlight,
       signal: this.stop,
-      choose: () =>
+      chooseEndpoint: () =>
         this.parts.chooser.choose({
           avoid: this.avoided,
           resuming: false,
@@ -223,7 +223,7 @@
       engine,
       stop: this.stop,
       handleQuiet: () => {
-        parts.directory.reportQuiet(endpoint);
+        parts.directory.reportStall(endpoint);
       },
       handleAccepted: () => {
         this.searchUntil = undefined;
