--- a/scripts/crash_trials.mjs
+++ b/scripts/crash_trials.mjs
@@ -28,7 +28,7 @@
     "this.sendToAll({ kind: 'crashes', crashes: part })",
     'void part',
     TEST,
-    'while the store is away',
+    'while the store is unavailable',
   ],
   [
     'crash: the store keeps it',
