--- a/packages/gateway/src/services/datagram_handlers.ts
+++ b/packages/gateway/src/services/datagram_handlers.ts
@@ -1,5 +1,5 @@
 /**
- * Passes datagrams of other hosts about roll-outs, crashes, limits and leases
+ * Passes datagrams of other hosts about rollouts, crashes, limits and leases
  * to the services that handle them. These services register themselves on
  * creation.
  */
@@ -22,7 +22,7 @@
   LeaseReleaseDatagram,
 } from '../model/run_lease_datagram.js';
 
-/** Handles datagrams about roll-outs. */
+/** Handles datagrams about rollouts. */
 export interface RolloutDatagramHandler {
   acceptReport(datagram: RolloutReportDatagram): void;
   acceptPhase(datagram: RolloutPhaseDatagram): void;
--- a/packages/gateway/src/services/peer_hosts.ts
+++ b/packages/gateway/src/services/peer_hosts.ts
@@ -53,7 +53,7 @@
  */
 const SEED_TIMEOUT_MS = 50;
 
-/** Store readers that get roll-out reports; two, as the first may be lost. */
+/** Store readers that get rollout reports; two, as the first may be lost. */
 const REPORT_READERS = 2;
 
 /** Exchanges datagrams with the other hosts and lists them. */
@@ -61,7 +61,7 @@
   readonly usePublisher: UsePublisher;
   readonly useQueries: UseQueries;
   readonly groups: EngineGroups;
-  /** The handlers of datagrams on roll-outs, crashes, limits and leases. */
+  /** The handlers of datagrams on rollouts, crashes, limits and leases. */
   readonly handlers = new DatagramHandlers();
   private readonly tracker: HostTracker;
   private readonly socket: DatagramPort;
--- a/packages/gateway/src/services/rollout_decider.ts
+++ b/packages/gateway/src/services/rollout_decider.ts
@@ -1,7 +1,7 @@
 /**
- * Decides the phases of roll-outs for all hosts. It exists on every host and is
+ * Decides the phases of rollouts for all hosts. It exists on every host and is
  * active on the first store reader. When two hosts are active at the same time,
- * a conditional write lets only one of them set how a roll-out ended; the other
+ * a conditional write lets only one of them set how a rollout ended; the other
  * adopts that.
  */
 import {decideNextPhase, type RolloutPhase} from '@irisdock/decisions';
@@ -38,9 +38,9 @@
   readonly revision: number;
 }
 
-/** Decides the next phase of a roll-out and writes its status. */
+/** Decides the next phase of a rollout and writes its status. */
 export class RolloutDecider {
-  /** The last known status of each roll-out in the store. */
+  /** The last known status of each rollout in the store. */
   private readonly statuses = new Map<RolloutState, StoredStatus>();
 
   constructor(private readonly parts: RolloutDeciderParts) {}
@@ -50,7 +50,7 @@
     this.statuses.clear();
   }
 
-  /** Decides and writes the next phase of one roll-out. */
+  /** Decides and writes the next phase of one rollout. */
   async step(state: RolloutState): Promise<void> {
     const written = this.statuses.get(state) ?? (await this.readStatus(state));
     if (written === undefined) return;
@@ -83,7 +83,7 @@
   private applyPhase(state: RolloutState, phase: RolloutPhase): void {
     if (!state.setPhase(phase)) return;
     const {verdict, trialSends, requests} = this.createView(state);
-    this.parts.log.writeInfo('Roll-out phase changed.', {
+    this.parts.log.writeInfo('Rollout phase changed.', {
       service: state.order.service,
       version: state.order.version,
       phase,
@@ -140,14 +140,14 @@
     );
     if (result.isErr()) {
       const {kind} = result.error;
-      log.writeWarning('Failed to write a roll-out status.', {
+      log.writeWarning('Failed to write a rollout status.', {
         service,
         outcome,
         kind,
       });
       return false;
     }
-    log.writeInfo('Roll-out status written.', {service, outcome});
+    log.writeInfo('Rollout status written.', {service, outcome});
     const now = await this.readStatus(state);
     return now === undefined || now.outcome === outcome;
   }
--- a/packages/gateway/src/services/rollout_runner.ts
+++ b/packages/gateway/src/services/rollout_runner.ts
@@ -1,7 +1,7 @@
 /**
- * Runs a host's part in roll-outs: reports its counts to the hosts that decide,
+ * Runs a host's part in rollouts: reports its counts to the hosts that decide,
  * decides itself when it is the first store reader, and applies the phases that
- * other hosts decided. It is idle without a roll-out.
+ * other hosts decided. It is idle without a rollout.
  */
 import type {Clock, Logger} from '@irisdock/kernel';
 import {getErrorText} from '@irisdock/kernel';
@@ -24,7 +24,7 @@
 const REPORT_INTERVAL_MS = 450;
 const REPORT_INTERVAL_MS_PER_HOST = 10;
 /**
- * How long, and at what interval, the end of a roll-out is sent again, in ms.
+ * How long, and at what interval, the end of a rollout is sent again, in ms.
  */
 const END_REPEAT_MS = 10_000;
 const REPEAT_MS = 1000;
@@ -40,7 +40,7 @@
   readonly log: Logger;
 }
 
-/** Reports, decides and publishes phases while there are roll-outs. */
+/** Reports, decides and publishes phases while there are rollouts. */
 export class RolloutRunner {
   private readonly controller = new AbortController();
   private running: Promise<void> | undefined;
@@ -53,7 +53,7 @@
   constructor(private readonly parts: RolloutRunnerParts) {}
 
   /**
-   * Starts the loop if it is not running; it ends when all roll-outs are over.
+   * Starts the loop if it is not running; it ends when all rollouts are over.
    */
   start(): void {
     this.running ??= this.run().finally(() => {
@@ -66,7 +66,7 @@
     await this.running;
   }
 
-  /** Writes the status of ended roll-outs again after a restore. */
+  /** Writes the status of ended rollouts again after a restore. */
   handleRestored(): void {
     this.parts.decider.dropStatuses();
     this.endedAt.clear();
@@ -127,7 +127,7 @@
       try {
         await this.step();
       } catch (thrown) {
-        log.writeError('A roll-out step failed.', {
+        log.writeError('A rollout step failed.', {
           error: getErrorText(thrown),
         });
       }
@@ -135,7 +135,7 @@
     }
   }
 
-  /** Whether any roll-out is not over or its end is still being sent. */
+  /** Whether any rollout is not over or its end is still being sent. */
   private hasWork(): boolean {
     const now = this.parts.clock.getNow();
     for (const state of this.parts.rollouts.listStates()) {
--- a/packages/gateway/src/services/rollouts.ts
+++ b/packages/gateway/src/services/rollouts.ts
@@ -119,13 +119,13 @@
     return;
   }
   const fault = order.error;
-  log.writeWarning('Failed to decode a roll-out order.', {key, fault});
+  log.writeWarning('Failed to decode a rollout order.', {key, fault});
 }
 
 function createGauge(rollouts: Rollouts, registry: Registry): void {
   new Gauge({
     name: 'irisdock_gateway_rollouts',
-    help: 'Known roll-outs, a count, by phase.',
+    help: 'Known rollouts, a count, by phase.',
     labelNames: ['phase'],
     registers: [registry],
     collect() {
