--- a/packages/decisions/tests/failure_detector.test.ts
+++ b/packages/decisions/tests/failure_detector.test.ts
@@ -184,7 +184,7 @@
     }
     simulation.run(4000);
     const hashes = simulation.hosts.map(
-      ({detector: watch}) => watch.view.recordsHash,
+      ({detector}) => detector.view.recordsHash,
     );
     assert.equal(new Set(hashes).size, 1);
   });
--- a/packages/gateway/src/services/front.ts
+++ b/packages/gateway/src/services/front.ts
@@ -144,34 +144,34 @@
 ): ServingParts {
   const {clock, random, log, metrics} = context;
   const codecs = context.find(CODECS);
-  const {headers: codec, copies, keptPrompts} = codecs;
+  const {headers: codec, copies: copyCodec, keptPrompts} = codecs;
   const peers = context.find(PEERS);
   const configuration = context.find(GATEWAY_CONFIGURATION);
   const endpoints = context.find(GATEWAY_ENDPOINTS);
   const gate = createGate(context);
   const client = new EndpointClient(codec, gate, clock);
-  const engines = new EngineClient(client);
+  const engineClient = new EngineClient(client);
   const servingMetrics = new ServingMetrics(metrics);
   const crashes = context.find(CRASHES);
   const {reportPath} = codec;
-  const check = createEndCheck(context, client, reportPath);
+  const exitCheck = createEndCheck(context, client, reportPath);
   return {
     clock,
     random,
     log,
     codec,
-    copyCodec: copies,
+    copyCodec,
     client,
-    engineClient: engines,
+    engineClient,
     successors: new SuccessorFinder({
-      engineClient: engines,
+      engineClient,
       codec: codecs.engineReports,
       configuration,
       endpoints,
       log,
     }),
     promptCaches: new PromptCacheFinder(
-      engines,
+      engineClient,
       keptPrompts,
       peers.place.failureDomain,
       clock,
@@ -189,7 +189,7 @@
     runLeases: context.find(RUN_LEASES),
     gate,
     lostRuns: new LostRuns({
-      exitCheck: check,
+      exitCheck,
       crashes,
       metrics: servingMetrics,
       clock,
--- a/packages/gateway/src/services/host_tracker.ts
+++ b/packages/gateway/src/services/host_tracker.ts
@@ -173,11 +173,8 @@
     const hosts = [
       createSummary(view.ownRecord, {failureDomain, standing: 'alive'}, own),
     ];
-    for (const {record, place, standing: hostStanding} of view.listKnown()) {
-      const status = {
-        failureDomain: place.failureDomain,
-        standing: hostStanding,
-      };
+    for (const {record, place, standing} of view.listKnown()) {
+      const status = {failureDomain: place.failureDomain, standing};
       hosts.push(
         createSummary(record, status, this.lastHeard.get(record.name)),
       );
@@ -290,9 +287,15 @@
     const own = this.standing.createReport(this.view.ownRecord, now);
     if (own !== undefined) this.reports.accept(own, now);
     const reports = this.reports.list(now);
-    for (const {to, message: watch} of sent) {
+    for (const {to, message} of sent) {
       const sentAt = this.parts.clock.getSteadyNow();
-      this.send([to], {kind: 'watch', watch, revisions, reports, sentAt});
+      this.send([to], {
+        kind: 'watch',
+        watch: message,
+        revisions,
+        reports,
+        sentAt,
+      });
     }
   }
 
--- a/packages/gateway/src/services/limit_publisher.ts
+++ b/packages/gateway/src/services/limit_publisher.ts
@@ -52,11 +52,11 @@
   }
 
   private sendAll(instanceIds: readonly string[]): void {
-    const {ownName, findIssuer, createLimitSummary: createSummary} = this.parts;
+    const {ownName, findIssuer, createLimitSummary} = this.parts;
     const broadcast: ReportedLimit[] = [];
     for (const instanceId of instanceIds) {
       const issuer = findIssuer(instanceId);
-      const summary = createSummary(instanceId);
+      const summary = createLimitSummary(instanceId);
       if (issuer === ownName) broadcast.push(summary);
       else if (issuer !== undefined) {
         this.parts.sendTo(issuer, this.createDatagram([summary]));
--- a/packages/gateway/src/services/permit_queue.ts
+++ b/packages/gateway/src/services/permit_queue.ts
@@ -87,7 +87,7 @@
     const isPaused = this.parts.clock.getNow() < this.pausedUntil;
     if (isPaused && priority !== 'begun') return this.createHold(target);
     return new Promise((finish) => {
-      this.waiting.push({priority: priority, target, finish});
+      this.waiting.push({priority, target, finish});
       if (!this.isPolling) void this.pollAll();
     });
   }
--- a/packages/gateway/src/services/run_lease_client.ts
+++ b/packages/gateway/src/services/run_lease_client.ts
@@ -57,7 +57,7 @@
 
   async acquire(request: LeaseRequest): Promise<LeaseOutcome> {
     const {clock} = this.parts;
-    const {content, signal, maxWaitMs: maxWaitMs, isNeeded} = request;
+    const {content, signal, maxWaitMs, isNeeded} = request;
     const run = this.createRun(content);
     const startedAt = clock.getNow();
     let answeredAt = startedAt;
