--- a/packages/decisions/src/route_table.ts
+++ b/packages/decisions/src/route_table.ts
@@ -26,11 +26,11 @@
   /**
    * Finds the route of a request.
    *
-   * @param hostLine The host header of the request, with or without a port.
+   * @param hostHeader The host header of the request, with or without a port.
    * @param path The path of the request, with or without a query.
    */
-  find(hostLine: string, path: string): R | undefined {
-    const prefixes = this.hosts.get(getHostName(hostLine));
+  find(hostHeader: string, path: string): R | undefined {
+    const prefixes = this.hosts.get(getHostName(hostHeader));
     if (prefixes === undefined) return undefined;
     const end = path.indexOf('?');
     let rest = end === -1 ? path : path.slice(0, end);
--- a/packages/decisions/tests/configuration_state.test.ts
+++ b/packages/decisions/tests/configuration_state.test.ts
@@ -106,7 +106,7 @@
   });
 });
 
-describe('decideServingRight', () => {
+describe('decideServing', () => {
   const base: ContactState = {
     configured: true,
     tableAgeMs: 100,
--- a/packages/decisions/tests/endpoint_choice.test.ts
+++ b/packages/decisions/tests/endpoint_choice.test.ts
@@ -299,7 +299,7 @@
   });
 });
 
-describe('computePlacement', () => {
+describe('computePlacementConstraints', () => {
   const rule = {service: 's', failureDomains: ['a', 'b']};
   const cases: readonly {
     name: string;
