--- a/packages/gateway/src/tables/table_log.ts
+++ b/packages/gateway/src/tables/table_log.ts
@@ -28,7 +28,7 @@
 
   /** The store returned a table that is older than the replica. */
   writeStaleRead(revision: number, held: number): void {
-    this.log.writeInfo('The store returned a stale table; reading it again.', {
+    this.log.writeInfo('The store returned a stale table; ignoring it.', {
       table: this.table,
       revision: formatRevision(revision),
       held: formatRevision(held),
