--- a/packages/decisions/src/engine_placement.ts
+++ b/packages/decisions/src/engine_placement.ts
@@ -1,6 +1,6 @@
 /**
  * Chooses the engine that runs a stream, and the one that keeps its standby
- * copy (a copy of the KV cache from which the stream resumes after a loss).
+ * replica (a copy of the KV cache from which the stream resumes after a loss).
  *
  * An engine prefills prompts one after another, in chunks between the decode
  * steps of its streams. A new prompt therefore waits for the prompts before it,
@@ -14,9 +14,9 @@
  * for a fixed cost per stream and a preferred engine per prompt.
  *
  * Among engines of equal cost, the first by the rendezvous hash of the prompt
- * is chosen, so that all hosts agree (`rendezvous_hash.ts`). Engines that failed
- * recently are used only if the others have no room. The standby copy is kept in
- * another failure domain, as all engines of a domain may be lost at once.
+ * is chosen, so that all hosts agree (`rendezvous_hash.ts`). Engines that
+ * failed recently are used only if the others have no room. The standby replica
+ * is in another failure domain, as all engines of a domain may be lost at once.
  */
 
 import {sortByRendezvousHash} from './rendezvous_hash.js';
@@ -31,7 +31,7 @@
   readonly slots: number;
   /** Prompt tokens that are not prefilled yet. */
   readonly unreadTokens: number;
-  /** Tokens that its streams and the copies kept there will occupy in total. */
+  /** Tokens that its streams and standby replicas will occupy in total. */
   readonly expectedTokens: number;
   /** Tokens that its KV cache can hold. */
   readonly memoryTokens: number;
@@ -51,7 +51,7 @@
   readonly avoidedDomains: ReadonlySet<string>;
   /** Identifies the prompt for the order of preference; empty for none. */
   readonly promptKey: string;
-  /** Prompt tokens that engines still cache from an earlier run, by instance. */
+  /** Prompt tokens that engines cache from an earlier run, by instance. */
   readonly keptTokens: ReadonlyMap<string, number>;
 }
 
@@ -69,7 +69,7 @@
  * failure, as the stream has to wait or evicts another one.
  */
 const NO_ROOM_COST_PROMPTS = 20;
-/** The share of the KV cache up to which standby copies may be added. */
+/** The share of the KV cache up to which standby replicas may be added. */
 const MAX_BACKUP_FILL = 0.8;
 
 /** Chooses an engine; undefined if all are excluded. */
@@ -114,7 +114,7 @@
 }
 
 /**
- * Chooses the engine that keeps the standby copy; undefined if no engine in
+ * Chooses the engine that keeps the standby replica; undefined if no engine in
  * another failure domain has room without evicting running streams.
  *
  * @param primary The engine that runs the stream.
--- a/packages/decisions/src/isolated_placement.ts
+++ b/packages/decisions/src/isolated_placement.ts
@@ -1,10 +1,10 @@
 /**
  * Chooses the engine for a stream that is suspected of crashing engines
  * (`crash_ledger.ts`). It is one with few streams, so that few others are lost
- * with it. It is chosen by a hash of the stream's content, so that two suspected
- * streams rarely share an engine: if all chose the engine of least cost, streams
- * that were lost together would run together again, and the sound ones could not
- * be told apart from the one that ended the engine.
+ * with it. It is chosen by a hash of the stream's content, so that two
+ * suspected streams rarely share an engine: if all chose the engine of least
+ * cost, streams that were lost together would run together again, and the sound
+ * ones could not be distinguished from the one that crashed the engine.
  */
 import type {EngineRequest, EngineView} from './engine_placement.js';
 import {sortByRendezvousHash} from './rendezvous_hash.js';
--- a/packages/decisions/src/naive/naive_owner.ts
+++ b/packages/decisions/src/naive/naive_owner.ts
@@ -1,6 +1,6 @@
 /**
- * Baseline that `decideOwner` is compared with: the host that receives a request
- * starts it.
+ * Baseline that `decideOwner` is compared with: the host that receives a
+ * request starts it.
  */
 import type {OwnerDecision} from '../request_owner.js';
 
--- a/packages/decisions/src/permit_bucket.ts
+++ b/packages/decisions/src/permit_bucket.ts
@@ -16,8 +16,8 @@
 /**
  * What a send is for. `begun`: continues an answer of which the caller has
  * received a part. `usual`: a caller's request. `aside`: work that can wait,
- * such as copying a run's memory, or probing whether an endpoint still works on
- * a request.
+ * such as copying a run's KV cache, or probing whether an endpoint still works
+ * on a request.
  */
 export type SendPriority = (typeof SEND_PRIORITIES)[number];
 
--- a/packages/decisions/src/poll_stagger.ts
+++ b/packages/decisions/src/poll_stagger.ts
@@ -1,6 +1,6 @@
 /**
  * Staggers the long polls of the hosts that read the store, so that one of them
- * is answered in each turn and confirms that the copies of all hosts are
+ * is answered in each turn and confirms that the replicas of all hosts are
  * current. A change answers all polls at once; the ranks then spread them
  * again. When ranks change, the answers are unevenly spaced at first, and each
  * reader shifts its next one towards one turn after that of another reader.
--- a/packages/decisions/src/reader_reports.ts
+++ b/packages/decisions/src/reader_reports.ts
@@ -1,8 +1,8 @@
 /**
  * Reports that the hosts which read the store gossip to all others: how old
- * their copy of the configuration may be, and how long removed entries stay in
- * use. Ages and delays are adjusted for the time that a report was held before
- * it is passed on.
+ * their replica of the configuration may be, and how long removed entries stay
+ * in use. Ages and delays are adjusted for the time that a report was held
+ * before it is passed on.
  */
 
 /** The report of one host that reads the store. */
@@ -19,7 +19,7 @@
   readonly departureDelayMs: number;
 }
 
-interface KeptReport {
+interface StoredReport {
   readonly report: ReaderReport;
   readonly receivedAt: number;
 }
@@ -28,7 +28,7 @@
  * How long a report is valid, in ms. Hosts report every 300 ms, and a report
  * reaches 350 hosts within 1.5 s on messages that they exchange anyway.
  */
-const USE_MS = 2500;
+const VALIDITY_MS = 2500;
 
 /**
  * How long an expired report is remembered, in ms: other hosts may still pass
@@ -38,26 +38,26 @@
 
 /** The newest report of each host. */
 export class ReaderReports {
-  private readonly kept = new Map<string, KeptReport>();
+  private readonly reports = new Map<string, StoredReport>();
 
   /** Accepts a report if it is newer than the known one of the same host. */
   accept(report: ReaderReport, now: number): void {
-    const known = this.kept.get(report.name)?.report;
+    const known = this.reports.get(report.name)?.report;
     const order =
       known === undefined
         ? 1
         : report.incarnation - known.incarnation ||
           report.sequence - known.sequence;
-    if (order > 0) this.kept.set(report.name, {report, receivedAt: now});
+    if (order > 0) this.reports.set(report.name, {report, receivedAt: now});
   }
 
   /** Lists the valid reports, with times adjusted to now, to be passed on. */
   list(now: number): ReaderReport[] {
     const reports: ReaderReport[] = [];
-    for (const [name, {report, receivedAt}] of this.kept) {
+    for (const [name, {report, receivedAt}] of this.reports) {
       const passedMs = now - receivedAt;
-      if (passedMs > REMEMBER_MS) this.kept.delete(name);
-      if (passedMs > USE_MS) continue;
+      if (passedMs > REMEMBER_MS) this.reports.delete(name);
+      if (passedMs > VALIDITY_MS) continue;
       reports.push({
         ...report,
         configurationAgeMs: report.configurationAgeMs + passedMs,
@@ -68,11 +68,11 @@
   }
 
   /**
-   * Returns how long ago a copy of the configuration was confirmed to be
+   * Returns how long ago a replica of the configuration was confirmed to be
    * current, in ms; Infinity without a report that confirms it.
    *
-   * @param revision The highest revision of a change that the copy holds. A
-   *     reader that knows a later change doesn't confirm such a copy.
+   * @param revision The highest revision of a change that the replica holds.
+   *     A reader that knows a later change doesn't confirm such a replica.
    */
   getConfigurationAgeMs(revision: number, now: number): number {
     let age = Infinity;
--- a/packages/decisions/src/store_readers.ts
+++ b/packages/decisions/src/store_readers.ts
@@ -1,8 +1,9 @@
 /**
  * Chooses the few hosts that read changes from the store for all. Calls to the
  * store are costly, so the other hosts receive changes by datagrams instead.
- * All hosts derive the same choice from the host records. A host that the store
- * rejects reports this in its record, and the next one in order replaces it.
+ * All hosts derive the same choice from the host records. A host whose calls to
+ * the store fail reports this in its record, and the next one in order replaces
+ * it.
  *
  * Hosts that have run longest come first. In an order by name alone, a starting
  * host could displace a reader, so many of the hosts that start one after
@@ -11,8 +12,8 @@
 import {hashText} from './hash.js';
 import type {HostState} from './host_record.js';
 
-/** A host that the store rejects ranks below one without a copy. */
-const AWAY_FAULTS = 2;
+/** A host whose calls to the store fail ranks below one that is not ready. */
+const STORE_UNAVAILABLE_FAULTS = 2;
 
 /** A host that may read the store. */
 export interface ReaderCandidate {
@@ -25,10 +26,10 @@
 }
 
 /**
- * Chooses the hosts that read. Hosts that the store rejects, that have no copy
- * yet, or that are about to stop are chosen only if there are not enough
- * others: some host has to notice when the store is back, and a starting host
- * would displace a reader while it can't read for others yet.
+ * Chooses the hosts that read. Hosts whose calls to the store fail, that have
+ * no replica yet, or that are about to stop are chosen only if there are not
+ * enough others: some host has to notice when the store is back, and a starting
+ * host would displace a reader while it can't read for others yet.
  */
 export function chooseStoreReaders(
   candidates: readonly ReaderCandidate[],
@@ -37,7 +38,9 @@
   const ranked = candidates.map(({name, incarnation, state, isStoreAway}) => ({
     name,
     incarnation,
-    faults: (isStoreAway ? AWAY_FAULTS : 0) + (state === 'ready' ? 0 : 1),
+    faults:
+      (isStoreAway ? STORE_UNAVAILABLE_FAULTS : 0) +
+      (state === 'ready' ? 0 : 1),
     hash: hashText(name),
   }));
   ranked.sort(
--- a/packages/decisions/src/wait_estimate.ts
+++ b/packages/decisions/src/wait_estimate.ts
@@ -54,13 +54,13 @@
  * Computes the value of `Retry-After`, in whole seconds, with jitter so that
  * refused callers don't all return at once.
  *
- * @param spread A random number from 0 to 1.
+ * @param randomFraction A random number from 0 to 1.
  */
 export function computeRetryAfterSeconds(
   waitMs: number,
-  spread: number,
+  randomFraction: number,
 ): number {
-  const seconds = Math.ceil((waitMs / 1000) * (1 + spread / 2));
+  const seconds = Math.ceil((waitMs / 1000) * (1 + randomFraction / 2));
   if (!Number.isFinite(seconds)) return MAX_RETRY_SECONDS;
   return Math.min(MAX_RETRY_SECONDS, Math.max(MIN_RETRY_SECONDS, seconds));
 }
--- a/packages/decisions/tests/gateway_limits.test.ts
+++ b/packages/decisions/tests/gateway_limits.test.ts
@@ -85,7 +85,7 @@
     assert.notEqual(after[1], one);
   });
 
-  it('are hosts that have a copy and stay, if there are enough', () => {
+  it('are hosts that have a replica and stay, if there are enough', () => {
     const states = [
       'starting',
       'leaving',
--- a/packages/gateway/src/model/request_metadata.ts
+++ b/packages/gateway/src/model/request_metadata.ts
@@ -41,7 +41,7 @@
 export interface KvCacheSource {
   /** The address of the engine that ran it. */
   readonly address: string;
-  /** The id of the request that ran there, or the name of the cache's copy. */
+  /** The id of the request that ran there, or the name of the replica. */
   readonly name: string;
 }
 
--- a/packages/gateway/src/model/tuple_reader.ts
+++ b/packages/gateway/src/model/tuple_reader.ts
@@ -1,8 +1,8 @@
 /**
  * Reads the fields of a decoded tuple in order and checks their types. Used in
  * place of a schema where messages arrive many times a second: decoding the
- * datagrams of an idle host for 12 s took 29 ms of CPU time with a zod schema of
- * tuples and takes 15 ms with this reader.
+ * datagrams of an idle host for 12 s took 29 ms of CPU time with a zod schema
+ * of tuples and takes 15 ms with this reader.
  */
 
 /** Names the field that is missing or has the wrong type. */
--- a/packages/gateway/src/services/front.ts
+++ b/packages/gateway/src/services/front.ts
@@ -154,7 +154,7 @@
   const servingMetrics = new ServingMetrics(metrics);
   const crashes = context.find(CRASHES);
   const {reportPath} = codec;
-  const exitCheck = createEndCheck(context, client, reportPath);
+  const exitCheck = createExitCheck(context, client, reportPath);
   return {
     clock,
     random,
@@ -209,7 +209,7 @@
   });
 }
 
-function createEndCheck(
+function createExitCheck(
   context: ServiceContext,
   client: EndpointClient,
   reportPath: string,
--- a/packages/gateway/src/services/host_tracker.ts
+++ b/packages/gateway/src/services/host_tracker.ts
@@ -157,13 +157,13 @@
       lastHeard: LastHeard | undefined,
     ): HostSummary => {
       const {name, state, isStoreAway} = record;
-      const place = readers.indexOf(name);
+      const rank = readers.indexOf(name);
       return {
         name,
         ...status,
         state,
         isStoreAway,
-        role: place < 0 ? 'listener' : `reader ${place}`,
+        role: rank < 0 ? 'listener' : `reader ${rank}`,
         configuration: lastHeard?.revisions.configuration,
         heardMs: lastHeard === undefined ? undefined : now - lastHeard.at,
       };
--- a/scripts/change_trials.mjs
+++ b/scripts/change_trials.mjs
@@ -45,7 +45,7 @@
     "(state === 'ready' ? 0 : 1)",
     '0',
     'decisions/gateway_limits',
-    'have a copy and stay',
+    'have a replica and stay',
   ],
   [
     'change: the word of a new life says nothing of the old one',
