--- a/bench/src/benches/host_cost.ts
+++ b/bench/src/benches/host_cost.ts
@@ -11,9 +11,9 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {splitPlace} from '@irisdock/kernel';
 import {
-  CopyBoard,
+  CopyRegistry,
   createCallScript,
-  createCallerHead,
+  createCallerHeaders,
   createEntry,
   createSoakConfiguration,
   createStreamScript,
@@ -26,7 +26,7 @@
   SOAK_SERVICES,
   StoreStandin,
   type Script,
-  type ScriptParts,
+  type ScriptContext,
 } from '@irisdock/users-platform/fixtures';
 import {createBench, type ResultRow} from '../bench.js';
 import {
@@ -67,9 +67,9 @@
   private readonly servers: ServerStandin[] = [];
 
   async start(): Promise<string> {
-    const door = await this.store.openDoor();
+    const door = await this.store.startListener();
     putConfiguration(this.store, createSoakConfiguration(1));
-    const copies = new CopyBoard();
+    const copies = new CopyRegistry();
     for (let at = 0; at < ENGINES; at++) {
       await this.addServer(SOAK_SERVICES.streams, at, copies, (parts) =>
         createStreamScript(parts, STREAM_SHAPE),
@@ -91,8 +91,8 @@
   private async addServer(
     service: string,
     at: number,
-    copies: CopyBoard,
-    createScript: (parts: ScriptParts) => Script,
+    copies: CopyRegistry,
+    createScript: (parts: ScriptContext) => Script,
   ): Promise<void> {
     let address = '';
     const script = createScript({
@@ -136,7 +136,7 @@
 
   private async send(path: string, isStream: boolean): Promise<boolean> {
     this.count++;
-    const headers = createCallerHead({
+    const headers = createCallerHeaders({
       hostName: HOST_NAME,
       attemptId: this.count.toString(16),
       key: SOAK_KEY,
--- a/bench/src/benches/idle_host.ts
+++ b/bench/src/benches/idle_host.ts
@@ -53,7 +53,7 @@
 async function runSize(hosts: number): Promise<ResultRow> {
   const places = await findPlaces();
   const store = new StoreStandin();
-  const door = await store.openDoor();
+  const door = await store.startListener();
   const others = new StandinHosts(places.datagrams);
   const seed = await others.start(hosts - 1);
   const folder = mkdtempSync(join(tmpdir(), 'irisdock-idle-'));
--- a/soak/src/caller.ts
+++ b/soak/src/caller.ts
@@ -7,7 +7,7 @@
 import {splitPlace, type Random} from '@irisdock/kernel';
 import {
   createAddressPath,
-  createCallerHead,
+  createCallerHeaders,
   decodeAddresses,
   HOST_NAME,
   SOAK_KEY,
@@ -148,7 +148,7 @@
     const {kind, body, attemptId, lastEventId} = attempt;
     const isStream = kind === 'stream';
     const remainingMs = isStream ? STREAM_MS : CALL_MS;
-    const head = createCallerHead({
+    const head = createCallerHeaders({
       hostName: HOST_NAME,
       key: SOAK_KEY,
       attemptId,
--- a/soak/src/configuration_witness.ts
+++ b/soak/src/configuration_witness.ts
@@ -8,13 +8,13 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {splitPlace} from '@irisdock/kernel';
 import {
-  createProbeHead,
+  createProbeHeaders,
   createSoakConfiguration,
-  formatBriefRoute,
+  formatTemporaryRoute,
   formatSoakKey,
   HOST_NAME,
   putConfiguration,
-  SOAK_BRIEF_VERSIONS,
+  SOAK_TEMPORARY_VERSIONS,
   SOAK_KEYED_PATH,
   type StoreStandin,
 } from '@irisdock/users-platform/fixtures';
@@ -99,8 +99,8 @@
     if (newest !== undefined) await this.checkVersion(host, newest, false);
     if (due === undefined) return;
     await this.checkVersion(host, due, true);
-    const old = due.version - SOAK_BRIEF_VERSIONS;
-    const brief = {path: `/${formatBriefRoute(old)}/`};
+    const old = due.version - SOAK_TEMPORARY_VERSIONS;
+    const brief = {path: `/${formatTemporaryRoute(old)}/`};
     await this.checkGone(host, due, brief);
     const keyed = {path: SOAK_KEYED_PATH, key: formatSoakKey(old)};
     await this.checkGone(host, due, keyed);
@@ -184,7 +184,7 @@
       ...splitPlace(place),
       path,
       agent: false,
-      headers: createProbeHead(HOST_NAME, key),
+      headers: createProbeHeaders(HOST_NAME, key),
       signal: AbortSignal.timeout(ANSWER_MS),
     });
     message.on('error', () => {
--- a/soak/src/endpoint_fleet.ts
+++ b/soak/src/endpoint_fleet.ts
@@ -5,7 +5,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {splitPlace} from '@irisdock/kernel';
 import {
-  CopyBoard,
+  CopyRegistry,
   createCallScript,
   createEntry,
   createStreamScript,
@@ -70,7 +70,7 @@
     string,
     Readonly<Record<string, unknown>> | undefined
   >();
-  private readonly copies = new CopyBoard();
+  private readonly copies = new CopyRegistry();
   private count = 0;
   private isStopped = false;
 
--- a/soak/src/limit_witness.ts
+++ b/soak/src/limit_witness.ts
@@ -4,9 +4,9 @@
  * no more than half over the limit, and five, by hosts that were left alone.
  */
 import {
-  computeAllowed,
-  CONTACT_MS,
-  countWorst,
+  computeMaxArrivals,
+  MAX_PROPAGATION_MS,
+  countMaxArrivals,
 } from '@irisdock/users-platform/fixtures';
 import type {Disturbances} from './disturbances.js';
 
@@ -63,8 +63,8 @@
     const faults: string[] = [];
     for (const span of this.spans.values()) {
       const {endpoint, perSecond} = span;
-      const worst = countWorst(this.listTimes(span));
-      if (worst <= computeAllowed(perSecond)) continue;
+      const worst = countMaxArrivals(this.listTimes(span));
+      if (worst <= computeMaxArrivals(perSecond)) continue;
       faults.push(`${endpoint}, at most ${perSecond}/s, got ${worst} in 4 s`);
     }
     return faults;
@@ -74,7 +74,7 @@
     const times: number[] = [];
     for (const arrival of this.arrivals.get(endpoint) ?? []) {
       const {at} = arrival;
-      if (at < from + CONTACT_MS || at > until) continue;
+      if (at < from + MAX_PROPAGATION_MS || at > until) continue;
       if (this.isInTouch(arrival)) times.push(at);
     }
     return times;
@@ -82,7 +82,11 @@
 
   /** Whether nothing befell the host, or the ways to endpoints, for a while. */
   private isInTouch({host, at}: Arrival): boolean {
-    const disturbed = this.disturbances.listBetween(host, at - CONTACT_MS, at);
+    const disturbed = this.disturbances.listBetween(
+      host,
+      at - MAX_PROPAGATION_MS,
+      at,
+    );
     return disturbed.every(({part}) => part === 'callers' || part === 'store');
   }
 }
--- a/soak/src/play.ts
+++ b/soak/src/play.ts
@@ -179,7 +179,7 @@
   }
 
   private async start(): Promise<void> {
-    const door = await this.store.openDoor();
+    const door = await this.store.startListener();
     this.configuration.commitNext();
     const services = [SOAK_SERVICES.calls, SOAK_SERVICES.streams];
     for (const [index, service] of services.entries()) {
--- a/soak/tests/settings.test.ts
+++ b/soak/tests/settings.test.ts
@@ -42,7 +42,7 @@
     failureDomain: 'zone-1',
     program: DEPLOYED_PROGRAM,
     directory,
-    storeAddress: (await store.openDoor()).address,
+    storeAddress: (await store.startListener()).address,
     getSeeds: () => [],
     handleUnexpectedExit: (exit) => exits.push(exit),
   });
